--- a/src/ridgecourse/core/claim.py
+++ b/src/ridgecourse/core/claim.py
@@ -1,9 +1,9 @@
 """Claims: which request may run under an idempotency key.
 
-Entries append claims to a stream of the platform's log and read them back.
-The first claim of a key wins. A later one may replace it only if it names the
-claim it replaces, which an entry does only with the target's proof that the
-earlier request was not started and never will be.
+Entries append claims to a stream of the platform's log and read the stream back. The
+first claim of a key applies. A later claim may replace the first only if it names the
+request of the replaced claim. An entry names that request only if the target has proved
+that it was not started and never will be.
 """
 
 from msgspec import Struct
@@ -20,13 +20,13 @@
 
 
 class ClaimRecord(Struct, frozen=True, tag_field="type", forbid_unknown_fields=True):
-    """Base of what stands in the stream of claims.
+    """Base class of the records in the stream of claims.
 
     Attributes:
         fleet: Fleet of the account.
-        account: Keys of different accounts are different.
-        key: The caller's key.
-        request_id: The request that claims or releases.
+        account: Client account; equal keys of different accounts are independent.
+        key: Idempotency key of the client.
+        request_id: Request that claims or releases the key.
     """
 
     fleet: FleetName
@@ -35,7 +35,7 @@
     request_id: RequestId
 
     def scope(self) -> tuple[str, str, str]:
-        """Return what a claim is exclusive for."""
+        """Return the scope in which a claim is exclusive: fleet, account and key."""
         return self.fleet, self.account, self.key
 
 
@@ -43,10 +43,10 @@
     """A request's claim on a key.
 
     Attributes:
-        target: Where it will be dispatched.
-        incarnation: The life of that target's agent; the request is refused by
-            any other.
-        replaces: The request whose claim it takes over, if any.
+        target: Target to which the request will be dispatched.
+        incarnation: Incarnation of the target's agent; any other incarnation refuses
+            the request.
+        replaces: Request whose claim is replaced; None for none.
     """
 
     target: TargetName
@@ -55,39 +55,46 @@
 
 
 class Release(ClaimRecord, frozen=True, tag="release"):
-    """Gives a key back, after proof that the request which held it was not run."""
+    """Releases a key, after proof that the request that held it was not run."""
 
 
 AnyClaimRecord = Claim | Release
 
 
 class ClaimTable:
-    """The fold of the claims stream.
+    """The state that results from the stream of claims.
 
     Attributes:
-        offset: The next offset to fold.
-        limit: Claims kept in memory; the oldest go first.
+        offset: Offset of the next record to apply.
+        limit: Maximum number of claims in memory; the oldest are dropped first.
+        holders: Claim that holds each scope.
     """
 
     def __init__(self, limit: int = 200_000) -> None:
         self.offset = Offset(0)
         self.limit = limit
         self.holders: dict[tuple[str, str, str], Claim] = {}
-        # Requests whose claims were folded, the newest last.
+        # Requests whose claims were applied, the newest last.
         self.decided: dict[RequestId, None] = {}
 
     def skip_to(self, offset: Offset) -> None:
-        """Go on from a later offset, where older records are gone."""
+        """Continue from a later offset after older records were deleted."""
         self.offset = max(self.offset, offset)
 
     def apply(self, offset: Offset, record: AnyClaimRecord | None) -> None:
-        """Fold the record at an offset; None stands for one not decodable.
+        """Apply the record at an offset.
+
+        Args:
+            offset: Offset of the record.
+            record: Record to apply; None if the record cannot be decoded.
 
         Raises:
             ValueError: The offset is not the next one.
         """
         if offset != self.offset:
-            raise ValueError(f"cannot fold offset {offset} at {self.offset}")
+            raise ValueError(
+                f"claim record has offset {offset}, expected {self.offset}"
+            )
         self.offset = Offset(offset + 1)
         if isinstance(record, Release):
             self._release(record)
@@ -110,17 +117,24 @@
             del self.holders[next(iter(self.holders))]
 
     def holder(self, scope: tuple[str, str, str]) -> Claim | None:
-        """Return the claim that holds a key."""
+        """Return the claim that holds a key; None for none.
+
+        Args:
+            scope: Fleet, account and key; see ``ClaimRecord.scope``.
+        """
         return self.holders.get(scope)
 
 
 class KeyState(Struct, frozen=True):
-    """What an agent knows of a key.
+    """The state of a keyed request at an agent.
 
     Attributes:
-        request_id: The request that was started or fenced.
-        started: Whether it was started; if not, it is fenced and never will be.
-        answer: The whole answer, once completed and if kept.
+        request_id: Request that was started or fenced.
+        started: Whether the request was started; if not, the request is fenced and
+            is never started.
+        answer: Complete answer; None if the request has not ended or its answer was
+            not kept.
+        version: Version that gave the answer; empty if there is no answer.
     """
 
     request_id: RequestId
@@ -130,10 +144,12 @@
 
 
 class KeyRegister:
-    """An agent's record of the keyed requests it started or fenced.
+    """An agent's record of the keyed requests that it started or fenced.
 
     Attributes:
-        limit: Requests kept; the oldest go first.
+        limit: Maximum number of requests in memory; the oldest are dropped first.
+        states: State of each request.
+        forgotten: Whether any request was dropped.
     """
 
     def __init__(self, limit: int = 50_000) -> None:
@@ -142,10 +158,10 @@
         self.forgotten = False
 
     def start(self, request_id: RequestId) -> bool:
-        """Record a start.
+        """Record the start of a request.
 
         Returns:
-            False if the request was started or fenced before.
+            False if the request was started or fenced before, otherwise True.
         """
         if request_id in self.states:
             return False
@@ -153,10 +169,11 @@
         return True
 
     def fence(self, request_id: RequestId) -> KeyState:
-        """Make sure that a request is never started from now on.
+        """Ensure that a request is never started from now on.
 
         Returns:
-            Its state; ``started`` tells whether the fence came too late.
+            State of the request; ``started`` is True if the request had been started
+            before the fence.
         """
         state = self.states.get(request_id)
         if state is None:
@@ -165,7 +182,7 @@
         return state
 
     def complete(self, request_id: RequestId, answer: bytes, version: str) -> None:
-        """Keep the whole answer of a started request."""
+        """Record the complete answer of a started request."""
         if request_id in self.states:
             self.states[request_id] = KeyState(request_id, True, answer, version)
 
--- a/src/ridgecourse/core/crash_suspects.py
+++ b/src/ridgecourse/core/crash_suspects.py
@@ -104,7 +104,8 @@
     def count_marks(self, signature: RequestSignature, now: Seconds) -> int:
         """Return the number of strikes of a request without another explanation.
 
-        A strike has another explanation if a blocked request was at the same engine.
+        The strike of a request that is not blocked has another explanation if a blocked
+        request was at the same engine.
         """
         self._rank_if_outdated(now)
         return self.counts.get(signature, 0)
@@ -135,9 +136,9 @@
             1 if self.count_marks(signature, now) >= LONE_MARKS else LONE_MARKS
         )
         incarnations: set[EngineLife] = set()
-        for name, suspect in self.suspects.items():
-            if name != signature and self.counts[name] >= min_strikes:
-                incarnations.update(self.flights.get(name, ()))
+        for other, suspect in self.suspects.items():
+            if other != signature and self.counts[other] >= min_strikes:
+                incarnations.update(self.flights.get(other, ()))
                 incarnations.update(suspect.trial_incarnations(now))
         return incarnations
 
@@ -157,21 +158,21 @@
             del self.flights[signature]
 
     def note_end(
-        self, signature: RequestSignature, incarnation: EngineLife, ended: Seconds
+        self, signature: RequestSignature, incarnation: EngineLife, ended_at: Seconds
     ) -> bool:
         """Record that an engine ended while it ran a request.
 
         Args:
             signature: Signature of the request.
             incarnation: Incarnation of the engine.
-            ended: Time at which the engine ended.
+            ended_at: Time at which the engine ended.
 
         Returns:
             Whether the state of the request has changed.
         """
         suspect = self._get_or_add_suspect(signature)
         known_end = suspect.ends.get(incarnation)
-        first_ended_at = ended if known_end is None else min(known_end, ended)
+        first_ended_at = ended_at if known_end is None else min(known_end, ended_at)
         suspect.ends[incarnation] = first_ended_at
         answered_at = self.successes.get(signature)
         is_cleared = answered_at is not None and answered_at > first_ended_at
@@ -180,7 +181,7 @@
             suspect.cleared[incarnation] = first_ended_at
         elif known_end is not None:
             return False
-        self._record_change(suspect, ended)
+        self._record_change(suspect, ended_at)
         return True
 
     def note_success(self, signature: RequestSignature, now: Seconds) -> bool:
@@ -223,7 +224,7 @@
             now: Current time.
 
         Returns:
-            Whether the report has changed the ends or the clearances of the request.
+            Whether the report has changed the ends or the cleared ends of the request.
         """
         ends = [end for end in news.ends if end.age <= MARK_SECONDS]
         if not ends:
@@ -282,9 +283,11 @@
         ]
 
     def lasting(self, now: Seconds) -> list[RequestSignature]:
-        """Return the requests that are reported to others at any age of their strikes."""
+        """Return the requests that are reported to other gateways at any age."""
         self._rank_if_outdated(now)
-        return [name for name, count in self.counts.items() if count >= LONE_MARKS]
+        return [
+            signature for signature, count in self.counts.items() if count >= LONE_MARKS
+        ]
 
     # Internal helpers.
 
@@ -305,7 +308,7 @@
         self.ranked_at = None
 
     def _rank_if_outdated(self, now: Seconds) -> None:
-        """Compute the blocked requests after a change or if strikes may have expired."""
+        """Compute the blocked requests after a change or when strikes may expire."""
         if self.ranked_at is None or now - self.ranked_at > RANKING_INTERVAL_SECONDS:
             self._drop_expired(now)
             self._rank(now)
@@ -314,9 +317,9 @@
     def _drop_expired(self, now: Seconds) -> None:
         for signature, suspect in list(self.suspects.items()):
             ends = {
-                incarnation: ended
-                for incarnation, ended in suspect.ends.items()
-                if now - ended <= MARK_SECONDS
+                incarnation: ended_at
+                for incarnation, ended_at in suspect.ends.items()
+                if now - ended_at <= MARK_SECONDS
             }
             if ends:
                 suspect.ends = ends
@@ -330,28 +333,31 @@
         them may be the culprit.
         """
         strikes_by_request = {
-            name: suspect.marks(now) for name, suspect in self.suspects.items()
+            signature: suspect.marks(now)
+            for signature, suspect in self.suspects.items()
         }
         candidates = {
-            name: strikes
-            for name, strikes in strikes_by_request.items()
+            signature: strikes
+            for signature, strikes in strikes_by_request.items()
             if len(strikes) >= BLOCKING_MARKS
         }
-        ordered = sorted(candidates, key=lambda name: -len(candidates[name]))
+        ordered = sorted(candidates, key=lambda signature: -len(candidates[signature]))
         blocked: dict[RequestSignature, frozenset[EngineLife]] = {}
         explained: set[EngineLife] = set()
-        for _, names in groupby(ordered, key=lambda name: len(candidates[name])):
+        for _, names in groupby(
+            ordered, key=lambda signature: len(candidates[signature])
+        ):
             culprits = [
-                name
-                for name in names
-                if len(candidates[name] - explained) >= BLOCKING_MARKS
+                signature
+                for signature in names
+                if len(candidates[signature] - explained) >= BLOCKING_MARKS
             ]
-            for name in culprits:
-                blocked[name] = candidates[name]
-            for name in culprits:
-                explained.update(candidates[name])
+            for signature in culprits:
+                blocked[signature] = candidates[signature]
+            for signature in culprits:
+                explained.update(candidates[signature])
         self.blocked = blocked
         self.counts = {
-            name: len(strikes if name in blocked else strikes - explained)
-            for name, strikes in strikes_by_request.items()
+            signature: len(strikes if signature in blocked else strikes - explained)
+            for signature, strikes in strikes_by_request.items()
         }
--- a/src/ridgecourse/core/engine_limits.py
+++ b/src/ridgecourse/core/engine_limits.py
@@ -44,9 +44,9 @@
     """The limit of one engine as a gateway announces it to other gateways.
 
     Attributes:
-        life: Incarnation of the engine.
+        incarnation: Incarnation of the engine.
         rate: Requests per second; None for no limit.
-        age: Seconds since the engine advertised the limit.
+        age: Seconds since a gateway received the limit from the engine.
     """
 
     life: EngineLife
@@ -59,8 +59,8 @@
 
     Attributes:
         rate: Requests per second; None for no limit.
-        heard_at: Time at which any gateway received the limit from the engine.
-        told_at: Time at which this gateway last announced the limit to others.
+        received_at: Time at which any gateway received the limit from the engine.
+        announced_at: Time at which this gateway last announced the limit to others.
         next_send_at: Time at which this gateway may send the next request.
         interval: Seconds between two requests of this gateway; infinite if this
             gateway does not send to the engine.
@@ -68,8 +68,8 @@
     """
 
     rate: float | None = None
-    heard_at: Seconds = Seconds(-inf)
-    told_at: Seconds = Seconds(-inf)
+    received_at: Seconds = Seconds(-inf)
+    announced_at: Seconds = Seconds(-inf)
     next_send_at: Seconds = Seconds(-inf)
     interval: float = inf
     share_computed_at: Seconds = Seconds(-inf)
@@ -80,26 +80,26 @@
 
     Attributes:
         site: Topology of failure domains and regions.
-        me: This gateway.
+        local: This gateway.
         states: Limit of the latest incarnation of each engine.
     """
 
-    def __init__(self, site: Site, me: Peer) -> None:
+    def __init__(self, site: Site, local: Peer) -> None:
         self.site = site
-        self.me = me
+        self.me = local
         self.states: LatestIncarnations[LimitState] = LatestIncarnations(
             lambda incarnation: LimitState()
         )
 
     def hear(
-        self, incarnation: EngineLife, rate: float | None, heard_at: Seconds
+        self, incarnation: EngineLife, rate: float | None, received_at: Seconds
     ) -> bool:
         """Record a limit from an answer or from another gateway.
 
         Args:
             incarnation: Incarnation of the engine.
             rate: Requests per second; None for no limit.
-            heard_at: Time at which this or another gateway received the limit from
+            received_at: Time at which this or another gateway received the limit from
                 the engine.
 
         Returns:
@@ -108,9 +108,9 @@
         if incarnation.is_before(self.states.latest(incarnation)):
             return False
         state = self.states.of(incarnation)
-        if heard_at <= state.heard_at:
+        if received_at <= state.received_at:
             return False
-        state.heard_at = heard_at
+        state.received_at = received_at
         changed = state.rate != rate
         state.rate = rate
         if changed:
@@ -169,7 +169,7 @@
         rate = max(state.rate or 0.0, MIN_RATE_PER_SECOND)
         members = {peer.name: peer for peer in [*gateways, self.me]}
         sender_count = len(members)
-        if now - state.heard_at <= REMEMBERED_SECONDS:
+        if now - state.received_at <= REMEMBERED_SECONDS:
             sender_count = min(sender_count, ceil(rate * SENDERS_PER_RATE))
         ranked = self.rank(target, domain, members.values())
         position = [peer.name for peer in ranked].index(self.me.name)
@@ -210,7 +210,7 @@
 
         Args:
             now: Current time.
-            span: Seconds between two announcements of a limit.
+            interval: Seconds between two announcements of a limit.
         """
         incarnations = self.states.lives.values()
         return [
@@ -218,7 +218,7 @@
             for incarnation in incarnations
             if self.limited(incarnation)
             and self.states.of(incarnation).interval < inf
-            and now - self.states.of(incarnation).told_at >= interval
+            and now - self.states.of(incarnation).announced_at >= interval
         ]
 
     def tell(self, incarnation: EngineLife, now: Seconds) -> LimitNews:
@@ -229,5 +229,5 @@
             now: Current time.
         """
         state = self.states.of(incarnation)
-        state.told_at = now
-        return LimitNews(incarnation, state.rate, round(now - state.heard_at, 3))
+        state.announced_at = now
+        return LimitNews(incarnation, state.rate, round(now - state.received_at, 3))
--- a/src/ridgecourse/core/engine_load.py
+++ b/src/ridgecourse/core/engine_load.py
@@ -57,10 +57,10 @@
         active: Number of requests in progress.
         cache_used: Tokens of context in the cache that cannot be evicted.
         cache_total: Capacity of the cache, in tokens of context.
-        pace: Factor by which the engine is slower than usual; 1 for the usual speed.
-        link: Last measured rate of the link of the engine's instance while weights
-            were fetched over the link, as a share of the link's usual rate.
-        unread: Remaining prefill time in seconds, estimated by the engine's loader.
+        slowdown: Factor by which the engine is slower than usual; 1 for usual speed.
+        link_share: Last measured rate of the link of the engine's instance while
+            weights were fetched over the link, as a share of the link's usual rate.
+        prefill_backlog: Remaining prefill time in seconds, estimated by the loader.
         started: Start of the engine; None if unknown.
     """
 
@@ -86,7 +86,7 @@
     Attributes:
         seconds: Estimate at the last poll, in seconds.
         requests: Number of requests at the last poll.
-        looked_at: Time of the last poll; None before the first poll.
+        updated_at: Time of the last poll; None before the first poll.
     """
 
     def __init__(self) -> None:
@@ -123,8 +123,8 @@
     """A request of this gateway that has no first event yet.
 
     Attributes:
-        sent: Time at which the request was sent.
-        reading: Prefill time of the request's prompt, in seconds.
+        sent_at: Time at which the request was sent.
+        prefill_time: Prefill time of the request's prompt, in seconds.
     """
 
     sent: Seconds
@@ -137,9 +137,9 @@
     Attributes:
         status: Newest report; None before the first report.
         reported_at: Time at which the newest report arrived; 0 for never.
-        waiting: Requests of this gateway without a first event, by identity.
+        pending: Requests of this gateway without a first event, by identity.
         outstanding: Number of requests of this gateway in progress.
-        number: Sequence number of the newest report that arrived in a datagram.
+        sequence_number: Number of the newest report that arrived in a datagram.
     """
 
     status: EngineStatus | None = None
@@ -210,8 +210,10 @@
         status = self.status
         if status is None or not self.is_fresh(now):
             return gateways * sum(pending.reading for pending in self.waiting.values())
-        left = max(0.0, status.unread - (now - self.reported_at))
-        return left + gateways * sum(pending.reading for pending in self._unreported())
+        remaining = max(0.0, status.unread - (now - self.reported_at))
+        return remaining + gateways * sum(
+            pending.reading for pending in self._unreported()
+        )
 
     def unanswered(self, now: Seconds) -> float:
         """Return by how many seconds the first event of the oldest request is overdue.
@@ -235,9 +237,9 @@
             gateways: Number of gateways that send to the engine.
         """
         excess = self.requests(now, gateways) + 1 - slots
-        pace = self.status.pace if self.status and self.is_fresh(now) else 1.0
+        slowdown = self.status.pace if self.status and self.is_fresh(now) else 1.0
         queue = excess * seconds_per_request(model, slots) if excess > 0 else 0.0
-        backlog = pace * max(queue, self.unread(now, gateways))
+        backlog = slowdown * max(queue, self.unread(now, gateways))
         return backlog + self._health_penalty(now) + self.unanswered(now)
 
     def _health_penalty(self, now: Seconds) -> float:
--- a/src/ridgecourse/core/first_events.py
+++ b/src/ridgecourse/core/first_events.py
@@ -1,11 +1,12 @@
-"""How much later first events come than was estimated, as a gateway itself sees it.
-
-Load pattern: engines change their weights or are lost, and for seconds the others get
-more than they can do. Reports are 0.1 s old and say nothing of requests on their way,
-so that just then estimates are some 0.2 s too short. Too many requests are let in, and
-the queue that they make stands: nearly all answers come a little late, though the
-engines could give most of them in time. What the own requests met tells so within some
-tenths of a second, whatever the reason; what would be late by it is refused.
+"""The delay of first events against their estimates, as one gateway measures it.
+
+While engines switch their weights or are lost, the other engines are overloaded for
+seconds. Load reports are 0.1 s old and do not include requests in transit, so the
+estimates are about 0.2 s too short at such times. Too many requests are admitted, and
+the queue they form does not shrink: nearly all answers are a little late, although the
+engines could give most answers in time. The first events of the gateway's own requests
+show the error within some tenths of a second, whatever its cause. Requests that would
+be late with this error are refused.
 """
 
 from math import exp
@@ -13,22 +14,22 @@
 from ridgecourse.core.ids import Seconds
 
 MEMORY_SECONDS = 0.6
-"""Over which observations are averaged: about the time in which a queue of one
-objective builds up or empties. With none, the estimate fades in the same time, so
-that a gateway which refuses all soon tries again."""
+"""Time constant of the average: about the time in which a queue as long as the latency
+objective grows or drains. Without observations the estimate decays with the same time
+constant, so that a gateway that refuses all requests soon admits requests again."""
 DEVIATION_SHARE = 0.5
-"""Share of the mean deviation that is added to the mean, so that more than half of what
-is let in is in time."""
+"""Share of the mean deviation that is added to the mean, so that more than half of the
+admitted requests are answered in time."""
 
 
 class FirstEventDelay:
-    """Averages by how much first events were later than estimated.
+    """Averages the delay of first events against their estimates.
 
     Attributes:
-        mean: Of the delays, in seconds.
-        deviation: Mean distance of the delays from it, in seconds.
-        weight: Of what was observed; fades with time.
-        observed_at: When the newest was observed.
+        mean: Mean delay, in seconds.
+        deviation: Mean absolute deviation of the delays from the mean, in seconds.
+        weight: Total weight of the observations, which decays with time.
+        observed_at: Time of the newest observation.
     """
 
     def __init__(self) -> None:
@@ -38,17 +39,23 @@
         self.observed_at = Seconds(0.0)
 
     def observe(self, delay: float, now: Seconds) -> None:
-        """Take in a delay; negative where an event came sooner than estimated."""
-        self.weight = self._faded(now) + 1.0
+        """Record a delay.
+
+        Args:
+            delay: Seconds by which a first event was later than estimated; negative
+                for an early one.
+            now: Current time.
+        """
+        self.weight = self._decayed_weight(now) + 1.0
         self.observed_at = now
-        share = 1.0 / self.weight
-        self.deviation += share * (abs(delay - self.mean) - self.deviation)
-        self.mean += share * (delay - self.mean)
+        sample_weight = 1.0 / self.weight
+        self.deviation += sample_weight * (abs(delay - self.mean) - self.deviation)
+        self.mean += sample_weight * (delay - self.mean)
 
     def expect(self, now: Seconds) -> float:
-        """Return the seconds to add to an estimate now, never less than none."""
+        """Return the seconds to add to an estimate; never negative."""
         delay = self.mean + DEVIATION_SHARE * self.deviation
-        return max(0.0, delay) * min(1.0, self._faded(now))
+        return max(0.0, delay) * min(1.0, self._decayed_weight(now))
 
-    def _faded(self, now: Seconds) -> float:
+    def _decayed_weight(self, now: Seconds) -> float:
         return self.weight * exp(-max(0.0, now - self.observed_at) / MEMORY_SECONDS)
--- a/src/ridgecourse/core/latest_lives.py
+++ b/src/ridgecourse/core/latest_lives.py
@@ -18,7 +18,7 @@
 
     Attributes:
         make: Returns the initial value of an incarnation.
-        lives: Latest incarnation of each engine.
+        incarnations: Latest incarnation of each engine.
         values: Value of the latest incarnation of each engine.
     """
 
@@ -55,5 +55,5 @@
 
     def forget_unlisted(self, listed: Container[TargetId]) -> None:
         """Drop the values of engines that are not listed."""
-        for target in [name for name in self.lives if name not in listed]:
+        for target in [target for target in self.lives if target not in listed]:
             del self.lives[target], self.values[target]
--- a/src/ridgecourse/core/letting_in.py
+++ b/src/ridgecourse/core/letting_in.py
@@ -26,7 +26,7 @@
 
 from ridgecourse.core.placement import FIRST_EVENT_SECONDS
 
-SHORTEST_QUEUE_SECONDS = 0.05
+TOLERATED_WAIT_SECONDS = 0.05
 """A request that can be answered in time is never refused for a wait up to this long,
 however long its prompt is."""
 SPARE_WAIT_SECONDS = 0.02
@@ -45,10 +45,10 @@
             first event of the answer.
         waited: Seconds that the client has waited already.
         wait: Estimated seconds until the request starts.
-        reading: Prefill time of the request's prompt, in seconds.
-        fill: Requests at the engine divided by its slots.
-        delay: Mean seconds by which recent first events were later than estimated.
-        left: Seconds until the client gives up; infinite if the client sent no
+        prefill_time: Prefill time of the request's prompt, in seconds.
+        occupancy: Requests at the engine divided by its slots.
+        estimate_error: Seconds by which recent first events were later than estimated.
+        remaining: Seconds until the client gives up; infinite if the client sent no
             deadline.
     """
 
@@ -100,6 +100,6 @@
     if prospect.is_late:
         return wait
     allowed = prospect.allowed_wait
-    if wait <= max(allowed, SHORTEST_QUEUE_SECONDS):
+    if wait <= max(allowed, TOLERATED_WAIT_SECONDS):
         return None
     return wait - allowed
--- a/src/ridgecourse/core/outage_tries.py
+++ b/src/ridgecourse/core/outage_tries.py
@@ -1,10 +1,11 @@
-"""Who tries the store while a whole domain cannot read it.
-
-Load pattern: a failure domain of some 25 processes is cut off and comes back while
-configurations of 400 KB follow each other. If each tries for itself, all read what
-holds within the same second: 30 copies over one link in a test, and the last process
-had the newest configuration 9 s after the link was back. So the first few of the
-domain's tree try often, and the others ask those.
+"""Retries of the store while a whole failure domain cannot read it.
+
+A failure domain of about 25 processes may lose its link and regain it while several
+configurations of 400 KB are published one after the other. If each process retries on
+its own, all processes read the current configuration within the same second: 30 copies
+over one link in a test, where the last process had the newest configuration 9 s after
+the link was restored. So the first few processes of the domain's read tree retry often,
+and the others ask these processes.
 """
 
 from collections.abc import Iterable
@@ -13,80 +14,86 @@
 from ridgecourse.core.ids import Seconds
 
 TRY_OFTEN = 3
-"""Processes that go on trying at each retry: one may have a link of its own that is
-down, and one may be frozen."""
-OTHERS_TRY_SECONDS = 0.3
-"""Between two tries of any of the others, however many they are: where the first few
-are turned away, one that is not hears of the store soon, and while an answer of 0.5 s
-is on its way hardly two more are asked for."""
+"""Number of processes that continue to try the store at each retry: one of them may
+have a failed link of its own, and another may be frozen."""
+OTHERS_ATTEMPT_SECONDS = 0.3
+"""Mean time between two attempts of all other processes together, however many there
+are. If the store refuses the first few processes, another one gets an answer soon, and
+while an answer that takes 0.5 s is in transit, hardly 2 more are requested."""
 SERIES_SECONDS = 3.0
-"""Since the last large change before an outage, within which more are taken to have
-followed: each takes 1.8 s until it is confirmed. Of several the first would cross the
-link only to be replaced."""
+"""Time between the last large change and the start of an outage up to which further
+changes are assumed to have followed: each change takes 1.8 s until it is confirmed. The
+first of several changes would be sent over the link only to be replaced."""
 LARGE_BYTES = 64 * 1024
-"""Of smaller records an answer of the store holds several, the newest among them."""
+"""Size from which on a record counts as large. An answer of the store contains several
+smaller records, the newest included."""
 
 
 class OutageTries:
-    """When a process that cannot read the store tries again.
+    """Decides when a process that cannot read the store tries again.
 
     Attributes:
-        random: Spreads the tries of processes that were cut off at the same moment.
-        next_at: When it tries whatever others do; None while it can read the store.
-        heard_at: When the store was last heard of, by anybody who told it.
-        changed_at: The same, of the last answer that told a large change.
+        random: Random number generator for the times of the attempts, so that processes
+            that lost the store at the same moment do not retry at the same time.
+        next_attempt_at: Time from which on this process tries the store itself; None
+            while it can read the store.
+        confirmed_at: Latest time at which data of the store was known to be current.
+        large_change_at: The same, for the last answer with a large change.
     """
 
     def __init__(self, random: Random) -> None:
         self.random = random
-        self.next_at: Seconds | None = None
+        self.next_attempt_at: Seconds | None = None
         self.heard_at = Seconds(0.0)
-        self.changed_at = Seconds(-SERIES_SECONDS)
+        self.large_change_at = Seconds(-SERIES_SECONDS)
 
     @property
     def failing(self) -> bool:
-        """Whether the last try failed."""
-        return self.next_at is not None
+        """Whether the last attempt failed."""
+        return self.next_attempt_at is not None
 
     @property
     def in_series(self) -> bool:
-        """Whether an outage is on that began in a series of large changes."""
-        return self.failing and self.heard_at - self.changed_at < SERIES_SECONDS
+        """Whether an outage is in progress that began in a series of large changes."""
+        return self.failing and self.heard_at - self.large_change_at < SERIES_SECONDS
 
-    def leaves_to_others(self, lost_above: int, now: Seconds) -> bool:
-        """Tell whether the store is left to others for now.
+    def leaves_to_others(self, failing_upstreams: int, now: Seconds) -> bool:
+        """Check whether this process leaves attempts to other processes for now.
 
         Args:
-            lost_above: Processes above this one that just told that they cannot read
-                the store either. Where none answers this one is on its own.
-            now: The time.
+            failing_upstreams: Number of upstream processes that have just reported
+                that they cannot read the store either. If no upstream process
+                answers, this process tries the store itself.
+            now: Current time.
         """
-        if self.next_at is None or lost_above < TRY_OFTEN:
+        if self.next_attempt_at is None or failing_upstreams < TRY_OFTEN:
             return False
-        return now < self.next_at
+        return now < self.next_attempt_at
 
     def note_failure(self, readers: int, now: Seconds) -> None:
-        """Take in that a try failed.
+        """Record a failed attempt.
 
         Args:
-            readers: Processes of the domain that may read the store, this one included.
-            now: The time.
+            readers: Number of processes in the domain that may read the store, this
+                one included.
+            now: Current time.
         """
-        # From zero on: of many that fail at the same moment some are to try soon.
-        pause = OTHERS_TRY_SECONDS * readers * 2.0 * self.random.random()
-        self.next_at = Seconds(now + pause)
+        # The pause is random from 0 on: if many processes fail at the same moment, some
+        # of them retry soon.
+        pause = OTHERS_ATTEMPT_SECONDS * readers * 2.0 * self.random.random()
+        self.next_attempt_at = Seconds(now + pause)
 
     def note_success(self) -> None:
-        """Take in that the store answered."""
-        self.next_at = None
+        """Record that the store answered."""
+        self.next_attempt_at = None
 
     def note_answer(self, heard_at: Seconds, sizes: Iterable[int]) -> None:
-        """Take in what the store or another process told.
+        """Record an answer of the store or of another process.
 
         Args:
-            heard_at: When the store was heard of.
-            sizes: Of the records that it told, in bytes.
+            heard_at: Time at which the answer's data was known to be current.
+            sizes: Sizes of the records in the answer, in bytes.
         """
         self.heard_at = max(self.heard_at, heard_at)
         if max(sizes, default=0) >= LARGE_BYTES:
-            self.changed_at = self.heard_at
+            self.large_change_at = self.heard_at
--- a/src/ridgecourse/core/outcome.py
+++ b/src/ridgecourse/core/outcome.py
@@ -1,15 +1,15 @@
-"""What a caller is told about a request."""
+"""Outcomes of requests as they are reported to clients."""
 
 from enum import Enum
 
 
 class Outcome(Enum):
-    """The fate of a request.
+    """The outcome of a request.
 
-    COMPLETED: The whole answer was given.
-    NOT_RUN: It was not executed and will not be; the proof is the target's, or
-        no byte of it left the entry.
-    UNKNOWN: It may have been executed, in part or in whole.
+    COMPLETED: The complete answer was delivered.
+    NOT_RUN: The request was not executed and will not be. Either the target proved
+        this, or no byte of the request was sent by the entry.
+    UNKNOWN: The request may have been executed, in part or completely.
     """
 
     COMPLETED = "completed"
@@ -18,7 +18,7 @@
 
 
 class Reason(Enum):
-    """Why a request has no complete answer."""
+    """The reason why a request has no complete answer."""
 
     ADMITTED = "admitted"
     BAD_REQUEST = "bad-request"
--- a/src/ridgecourse/core/patience.py
+++ b/src/ridgecourse/core/patience.py
@@ -37,24 +37,24 @@
     def __init__(self) -> None:
         self.recent: deque[float] = deque(maxlen=WINDOW)
 
-    def observe(self, left: float) -> float:
+    def observe(self, remaining: float) -> float:
         """Record a client's remaining time and estimate how long the client has waited.
 
         Args:
-            left: Seconds until the client gives up.
+            remaining: Seconds until the client gives up.
 
         Returns:
             Seconds that the client has waited; 0 for a first attempt.
         """
-        self.recent.append(left)
+        self.recent.append(remaining)
         if len(self.recent) < FEWEST:
             return 0.0
         ordered = sorted(self.recent)
         last_index = len(ordered) - 1
-        usual = ordered[int(USUAL_SHARE * last_index)]
+        usual_timeout = ordered[int(USUAL_SHARE * last_index)]
         spread = (
             ordered[int(HIGH_QUANTILE * last_index)]
             - ordered[int(LOW_QUANTILE * last_index)]
         )
-        missing = usual - left
+        missing = usual_timeout - remaining
         return missing if missing > SPREAD_FACTOR * spread else 0.0
--- a/src/ridgecourse/core/placement.py
+++ b/src/ridgecourse/core/placement.py
@@ -17,7 +17,7 @@
 preferred up to this much additional wait. Traffic between regions costs about 1.4 in
 100 of the value of a request; a wait of this length makes about as many answers miss
 their objective."""
-CROWDING_SECONDS = 0.06
+OCCUPANCY_COST_SECONDS = 0.06
 """Extra cost of a full batch compared with an empty one: decoding steps take longer as
 the batch fills."""
 SENDERS = 4
@@ -51,5 +51,7 @@
         random: Random number generator for the jitter.
     """
     penalty = 0.0 if near else REGION_PENALTY_SECONDS
-    crowding = load.requests(now, SENDERS) / max(1, slots) * CROWDING_SECONDS
-    return wait + penalty + crowding + random.random() * JITTER_SECONDS
+    occupancy_cost = (
+        load.requests(now, SENDERS) / max(1, slots) * OCCUPANCY_COST_SECONDS
+    )
+    return wait + penalty + occupancy_cost + random.random() * JITTER_SECONDS
--- a/src/ridgecourse/core/recent_peak.py
+++ b/src/ridgecourse/core/recent_peak.py
@@ -1,34 +1,39 @@
-"""The largest of the spans seen lately."""
+"""The largest of the recently observed durations."""
 
 from math import exp
 
 from ridgecourse.core.ids import Seconds
 
 MEMORY_SECONDS = 2.0
-"""In which a span that has not come again falls to some third of itself: a link that
-was squeezed or a process that was busy a second ago may be so again; what was a minute
-ago says nothing."""
+"""Time constant of the decay: the time in which a duration that is not observed again
+decays to about a third. A link that was slow or a process that was busy a second ago
+may be so again; a state of a minute ago is irrelevant."""
 
 
 class RecentPeak:
-    """The largest recent span; a span counts for less the longer it is ago.
+    """The largest recent duration, which decays exponentially with its age.
 
     Attributes:
-        memory: In which a span falls to some third of itself, in seconds.
-        span: The largest when it was seen, in seconds.
-        seen_at: When that was.
+        memory: Time in which a duration decays to about a third, in seconds.
+        peak: Largest duration at the time of its observation, in seconds.
+        observed_at: Time at which the peak was observed.
     """
 
     def __init__(self, memory: float = MEMORY_SECONDS) -> None:
         self.memory = memory
-        self.span = 0.0
-        self.seen_at = Seconds(0.0)
+        self.peak = 0.0
+        self.observed_at = Seconds(0.0)
 
-    def observe(self, span: float, now: Seconds) -> None:
-        """Take in a span."""
-        if span >= self.expect(now):
-            self.span, self.seen_at = span, now
+    def observe(self, duration: float, now: Seconds) -> None:
+        """Record a duration.
+
+        Args:
+            duration: Observed duration, in seconds.
+            now: Current time.
+        """
+        if duration >= self.expect(now):
+            self.peak, self.observed_at = duration, now
 
     def expect(self, now: Seconds) -> float:
-        """Return the span to reckon with now, in seconds."""
-        return self.span * exp(-max(0.0, now - self.seen_at) / self.memory)
+        """Return the decayed peak: the duration to expect now, in seconds."""
+        return self.peak * exp(-max(0.0, now - self.observed_at) / self.memory)
--- a/src/ridgecourse/core/report_rate.py
+++ b/src/ridgecourse/core/report_rate.py
@@ -1,65 +1,72 @@
-"""How often a loader tells its engine's load to the gateways that watch it.
-
-Load pattern: each gateway chooses among engines by their newest reports, and at full
-load a report that is 0.1 s older sends too many requests to the same engine. Every
-gateway watches every engine, so reports grow with the product of both numbers; over
-the link between two regions they compete with requests, configurations and weights.
-So gateways of the engine's region, which send it most of its requests, are told as
-often as it is looked at. All others share a fixed number of reports a second. A look
-that finds what gateways reckon with anyway is not told.
+"""Rate at which a loader reports its engine's load to the gateways that watch it.
+
+Each gateway chooses among engines by their newest reports. At full load, reports that
+are 0.1 s older make gateways send too many requests to the same engine. Every gateway
+watches every engine, so the number of reports grows with the product of both numbers,
+and over the link between two regions reports compete with requests, configurations and
+weights. So gateways in the engine's region, which send most of its requests, get a
+report after every poll of the engine. All other gateways share a fixed number of
+reports per second. A poll whose result gateways already expect is not reported.
 """
 
 from ridgecourse.core.engine_load import EngineStatus
 from ridgecourse.core.ids import Seconds
 
 NEAR_INTERVAL_SECONDS = 0.05
-"""Between two reports within a region: as often as a crowded engine is looked at."""
+"""Time between two reports within a region: the interval at which a loaded engine is
+polled."""
 FAR_INTERVAL_SECONDS = 0.1
-"""Shortest time between two reports to a gateway elsewhere, where bytes are dear."""
+"""Shortest time between two reports to a gateway in another region, where bandwidth is
+expensive."""
 FAR_REPORTS_PER_S = 60.0
-"""Reports that one engine sends to other regions in a second, all gateways there
-together: 6 of them are told each 0.1 s. At 180 bytes with headers, 40 engines put
-1.1 Mbit/s on each of six links between three regions."""
+"""Reports per second about one engine to all gateways in other regions together: 6
+gateways get a report every 0.1 s. At 180 bytes with headers, 40 engines cause 1.1
+Mbit/s on each of 6 links between 3 regions."""
 
 NEAR_HEARTBEAT_SECONDS = 1.0
-"""Between two messages on the connection to a gateway of the region, which show that
-both sides live; the load itself goes in datagrams."""
+"""Time between two heartbeats on the connection to a gateway in the same region. A
+heartbeat shows that both sides are alive; the load itself is sent in datagrams."""
 FAR_HEARTBEAT_SECONDS = 4.0
-"""The same to gateways elsewhere. They lose little by a loader that has gone unseen for
-longer, for the list of targets tells of its engine. A message on a connection costs
-several times what a datagram does, and 98 gateways and 142 loaders passed 11,000 of
-them a second over the links between five regions, with one a second."""
+"""Time between two heartbeats on the connection to a gateway in another region. Such a
+gateway may detect the end of a loader later, because the list of targets shows the end
+of the loader's engine. A message on a connection costs several times as much as a
+datagram. With 1 heartbeat per second, 98 gateways and 142 loaders sent 11,000 messages
+per second over the links between 5 regions."""
 MISSED_HEARTBEATS = 2.5
-"""Heartbeats after which a loader that tells nothing has gone, or its link has."""
-UNREAD_MARGIN_SECONDS = 0.01
-"""Difference in the time for which an engine still reads prompts that is worth no
-report: less than the jitter by which engines are chosen."""
+"""Number of heartbeat intervals without a message after which a loader or its link
+counts as lost."""
+PREFILL_MARGIN_SECONDS = 0.01
+"""Largest difference in the remaining prefill time that causes no report; smaller than
+the jitter in the choice of engines."""
 
 
 def tells_more(
-    told: EngineStatus | None, told_at: Seconds, status: EngineStatus, now: Seconds
+    reported: EngineStatus | None,
+    reported_at: Seconds,
+    status: EngineStatus,
+    now: Seconds,
 ) -> bool:
-    """Tell whether a load differs from what gateways reckon by an earlier report.
+    """Check whether a load differs from what gateways expect after the last report.
 
-    They count down the time for which prompts are read, and have no use for the memory
-    that is taken: it grows with every token.
+    Gateways count down the remaining prefill time. They do not use the occupied cache
+    memory, which grows with every token.
 
     Args:
-        told: The earlier load; None for none.
-        told_at: When it was told.
-        status: The load now.
-        now: The present time.
+        reported: Load in the last report; None if there was no report.
+        reported_at: Time of the last report.
+        status: Load of the engine now.
+        now: Current time.
     """
-    if told is None:
+    if reported is None:
         return True
-    reckoned = max(0.0, told.unread - (now - told_at))
-    if abs(status.unread - reckoned) > UNREAD_MARGIN_SECONDS:
+    expected = max(0.0, reported.unread - (now - reported_at))
+    if abs(status.unread - expected) > PREFILL_MARGIN_SECONDS:
         return True
-    return _counted(told) != _counted(status)
+    return _unchanged_values(reported) != _unchanged_values(status)
 
 
-def _counted(status: EngineStatus) -> tuple[object, ...]:
-    """Return what gateways use of a load as it stands."""
+def _unchanged_values(status: EngineStatus) -> tuple[object, ...]:
+    """Return the values of a load that gateways use unchanged."""
     return (
         status.version,
         status.busy,
@@ -72,12 +79,20 @@
 
 
 def heartbeat_interval(near: bool) -> float:
-    """Return the time between two heartbeats on a connection, in seconds."""
+    """Return the time between two heartbeats on a connection, in seconds.
+
+    Args:
+        near: Whether the gateway is in the engine's region.
+    """
     return NEAR_HEARTBEAT_SECONDS if near else FAR_HEARTBEAT_SECONDS
 
 
 def silence_limit(near: bool) -> float:
-    """Return for how long a connection may be silent, in seconds."""
+    """Return the longest time without a message on a connection, in seconds.
+
+    Args:
+        near: Whether the gateway is in the engine's region.
+    """
     return heartbeat_interval(near) * MISSED_HEARTBEATS
 
 
@@ -85,8 +100,8 @@
     """Return the shortest time between two reports to one gateway, in seconds.
 
     Args:
-        near: Whether the gateway stands in the engine's region.
-        far_watchers: Gateways elsewhere that watch the engine.
+        near: Whether the gateway is in the engine's region.
+        far_watchers: Number of gateways in other regions that watch the engine.
     """
     if near:
         return NEAR_INTERVAL_SECONDS
--- a/src/ridgecourse/core/request_signature.py
+++ b/src/ridgecourse/core/request_signature.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same one, as far as engines are concerned."""
+"""Signature of a request: equal for requests that are the same to an engine."""
 
 from hashlib import blake2b
 
@@ -11,14 +11,14 @@
 def sign_request(
     account: AccountName | None, method: str, host: str, target: str, body: bytes | None
 ) -> RequestSignature:
-    """Return the digest of a request; its attempts and headers do not count.
+    """Return the digest of a request, independent of its headers and the attempt.
 
     Args:
-        account: Whose request it is; None for a public one.
-        method: As sent.
-        host: Without a port.
+        account: Account of the client; None for a public request.
+        method: HTTP method as sent.
+        host: Host without a port.
         target: Path and query as sent.
-        body: The body; None if it has none.
+        body: Body of the request; None for none.
     """
     digest = blake2b(digest_size=SIGNATURE_BYTES)
     names = (account or "", method, host, target)
--- a/src/ridgecourse/core/retry.py
+++ b/src/ridgecourse/core/retry.py
@@ -1,42 +1,48 @@
-"""Retry budget: retries stay a fraction of fresh requests."""
+"""Retry control: when refused clients may retry, and how many retries a gateway makes.
+
+The retry budget keeps the retries to a fraction of the new requests.
+"""
 
 from random import Random
 
 SHORTEST_COME_BACK_SECONDS = 0.25
-"""After which a refused caller may come back: about the time in which an engine
-frees a slot or a list of targets is read again."""
+"""Shortest time after which a refused client may retry: about the time in which an
+engine frees a slot or the list of targets is read again."""
 EXCESS_FACTOR = 5.0
-"""Seconds after which a caller may come back for each second by which its wait was
-too long. Engines that change weights or restart together leave the others with some
-0.3 s too much for about 2 s; who came back sooner was refused again."""
-PATIENCE_SHARE = 0.32
-"""Share of its time for which a caller waits as told: a third, less the way back."""
-SPREAD = 0.3
-"""Share by which callers' returns are spread, so that they don't come together."""
+"""Seconds after which a client may retry, for each second by which its wait was too
+long. While engines switch their weights or restart together, waits at the other engines
+are about 0.3 s too long for about 2 s; clients that retried sooner were refused
+again."""
+TIMEOUT_SHARE = 0.32
+"""Largest share of its remaining time that a client is asked to wait: clients wait for
+up to a third of their time, less the network delay of the answer."""
+JITTER_SHARE = 0.3
+"""Share by which retries are randomly brought forward, so that clients do not retry at
+the same time."""
 
 
-def come_back_seconds(excess: float | None, left: float, random: Random) -> float:
-    """Return after how many seconds a refused caller may come back.
+def come_back_seconds(excess: float | None, remaining: float, random: Random) -> float:
+    """Return the seconds after which a refused client may retry.
 
     Args:
-        excess: Seconds by which its wait would have been too long; None where no
-            target can serve at all.
-        left: Seconds that the caller has left.
-        random: Source of the spread.
+        excess: Seconds by which the wait would have been too long; None if no
+            target can serve the request.
+        remaining: Seconds until the client gives up.
+        random: Random number generator for the jitter.
     """
-    longest = left * PATIENCE_SHARE
-    wanted = longest if excess is None else EXCESS_FACTOR * excess
-    spread = 1.0 - SPREAD * random.random()
-    return max(SHORTEST_COME_BACK_SECONDS, min(longest, wanted) * spread)
+    longest = remaining * TIMEOUT_SHARE
+    delay = longest if excess is None else EXCESS_FACTOR * excess
+    jitter = 1.0 - JITTER_SHARE * random.random()
+    return max(SHORTEST_COME_BACK_SECONDS, min(longest, delay) * jitter)
 
 
 class RetryBudget:
-    """A token bucket that fresh requests fill and retries drain.
+    """A token bucket that is filled by new requests and drained by retries.
 
     Attributes:
-        ratio: Retries allowed for each fresh request.
-        ceiling: Most retries that may be saved up.
-        balance: Retries allowed now.
+        ratio: Retries allowed for each new request.
+        ceiling: Maximum number of retries that may accumulate.
+        balance: Number of retries allowed at present.
     """
 
     def __init__(self, ratio: float = 0.1, ceiling: float = 10.0) -> None:
@@ -45,16 +51,16 @@
         self.balance = ceiling
 
     def record_request(self) -> None:
-        """Count a fresh request."""
+        """Record a new request, which adds to the budget."""
         self.balance = min(self.ceiling, self.balance + self.ratio)
 
     def limit(self, ceiling: float) -> None:
-        """Let no more than so many retries be saved up from now on."""
+        """Set the maximum number of retries that may accumulate."""
         self.ceiling = ceiling
         self.balance = min(self.balance, ceiling)
 
     def take_retry(self) -> bool:
-        """Spend one retry if the budget has one."""
+        """Spend one retry; return whether the budget allowed one."""
         if self.balance < 1.0:
             return False
         self.balance -= 1.0
--- a/src/ridgecourse/core/routes.py
+++ b/src/ridgecourse/core/routes.py
@@ -1,7 +1,6 @@
-"""Routes: which service answers a request, and on what terms.
+"""Routes: which service answers a request, and with which limits and guarantees.
 
-The routing configuration is published whole by the operators; a lookup needs
-nothing else.
+Operators publish the complete routing configuration; a lookup needs no other data.
 """
 
 from collections.abc import Mapping, Sequence
@@ -13,10 +12,10 @@
 
 
 class Repeatability(Enum):
-    """What may be repeated of a request.
+    """Whether a request may run more than once.
 
-    IDEMPOTENT: It may run any number of times.
-    ONCE: It may run at most once.
+    IDEMPOTENT: The request may run any number of times.
+    ONCE: The request may run at most once.
     """
 
     IDEMPOTENT = "idempotent"
@@ -27,8 +26,8 @@
     """A service and its share of a route's requests.
 
     Attributes:
-        service: The service.
-        weight: Share relative to the route's other services.
+        service: Name of the service.
+        weight: Share of the requests relative to the route's other services.
     """
 
     service: ServiceName
@@ -36,22 +35,23 @@
 
 
 class Route(Struct, frozen=True):
-    """Terms of the requests below one path of one host.
+    """Services, limits and guarantees for the requests below one path of one host.
 
     Attributes:
         name: Name of the route.
-        host: Host that the request names.
-        prefix: Beginning of the path.
-        services: Who answers.
-        repeatability: Whether a request may run again.
+        host: Value of the requests' host header.
+        prefix: Prefix of the requests' paths.
+        services: Services that answer the requests, with their shares.
+        repeatability: Whether a request may run more than once.
         streamed: Whether answers are streams of events.
-        resumable: Whether a stream may go on at another target.
-        max_attempts: Most targets that one request may be sent to.
-        timeout: Longest time a request may be held, in seconds.
-        objective: Time to the answer, or its first event, in seconds.
-        longest_pause: Longest pause between events, in seconds; 0 for none.
-        priority: 0 is the most important.
-        public: Whether requests need no key.
+        resumable: Whether a stream may continue at another target.
+        max_attempts: Maximum number of targets that one request may be sent to.
+        timeout: Longest time for which a request may be held, in seconds.
+        objective: Latency objective for the answer, or for its first event, in
+            seconds.
+        longest_pause: Longest pause between two events, in seconds; 0 for no limit.
+        priority: Priority of the requests; 0 is the most important.
+        public: Whether requests need no API key.
     """
 
     name: str
@@ -80,19 +80,20 @@
     """Speed and size of a service's model engines.
 
     Attributes:
-        model: The model that they serve.
-        slots: Requests in one batch.
-        cache_tokens: Tokens of context that fit into an engine's memory.
-        step: Seconds for one token of each request of a batch.
+        model: Model that the engines serve.
+        slots: Maximum number of requests in one batch.
+        cache_tokens: Capacity of an engine's cache, in tokens of context.
+        step: Base duration in seconds of a decoding step, which yields one token for
+            each request of the batch.
         step_per_request: Seconds added to a step for each request.
         step_per_token: Seconds added to a step for each token of context.
-        prompt_rate: Prompt tokens read in a second.
-        pair_seconds: Seconds for each pair of prompt tokens.
-        prompt_tokens: Mean length of a prompt.
-        answer_tokens: Mean length of an answer.
-        layers: Layers of the model.
-        chunks: Chunks that its weights come in.
-        chunk_bytes: Size of each.
+        prompt_rate: Prompt tokens prefilled per second.
+        pair_seconds: Prefill seconds for each pair of prompt tokens.
+        prompt_tokens: Mean length of a prompt, in tokens.
+        answer_tokens: Mean length of an answer, in tokens.
+        layers: Number of layers of the model.
+        chunks: Number of chunks of the model's weights.
+        chunk_bytes: Size of one chunk, in bytes.
     """
 
     model: ModelName
@@ -114,10 +115,11 @@
     """A service that requests are routed to.
 
     Attributes:
-        name: The service.
-        max_connections: Connections that a target takes from all entries.
+        name: Name of the service.
+        max_connections: Maximum number of connections that a target accepts from all
+            entries together.
         health_path: Path of the targets' health check.
-        engine: Figures of its engines; None for a plain service.
+        engine: Speed and size of the engines; None for a service without engines.
     """
 
     name: ServiceName
@@ -127,12 +129,12 @@
 
 
 class OriginPlace(Struct, frozen=True):
-    """Where weights come from.
+    """The origin from which weights are fetched.
 
     Attributes:
-        address: HOST:PORT.
-        domain: Failure domain that it stands in.
-        bytes_per_s: Capacity of its link.
+        address: HOST:PORT of the origin.
+        domain: Failure domain of the origin.
+        bytes_per_s: Capacity of the origin's link, in bytes per second.
     """
 
     address: str
@@ -141,13 +143,13 @@
 
 
 class CallerLimits(Struct, frozen=True):
-    """What callers may send, and how long they may take.
+    """Limits on the size and duration of clients' requests.
 
     Attributes:
-        header_bytes: Longest head of a request.
-        body_bytes: Longest body.
-        header_seconds: Longest time to send a head.
-        idle_seconds: Longest rest of a connection between requests.
+        header_bytes: Maximum size of a request's header, in bytes.
+        body_bytes: Maximum size of a request's body, in bytes.
+        header_seconds: Longest time for sending a header.
+        idle_seconds: Longest time for which a connection may be idle between requests.
     """
 
     header_bytes: int = 16 * 1024
@@ -160,8 +162,8 @@
     """A client account.
 
     Attributes:
-        account: Its name.
-        priority: Goes before the route's priority; None for no own one.
+        account: Name of the account.
+        priority: Priority that overrides the route's priority; None for no override.
     """
 
     account: AccountName
@@ -172,13 +174,13 @@
     """A routing configuration.
 
     Attributes:
-        version: Rises with each configuration.
-        routes: The routes of each host, those with longer prefixes first.
-        services: The services by name.
-        origin: Where weights come from, if anywhere.
-        limits: Limits on callers.
-        accounts: Accounts by key.
-        keyed: Whether requests of routes that are not public need a key.
+        version: Version number, higher for each new configuration.
+        routes: Routes of each host, longer prefixes first.
+        services: Services by name.
+        origin: Origin of the weights; None for none.
+        limits: Limits on clients' requests.
+        accounts: Client accounts by API key.
+        keyed: Whether requests on routes that are not public need an API key.
     """
 
     version: int
@@ -190,7 +192,7 @@
     keyed: bool
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix, or None."""
+        """Return the route with the longest matching prefix, or None."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -198,7 +200,7 @@
 
 
 def group_routes(routes: Sequence[Route]) -> Mapping[str, Sequence[Route]]:
-    """Return routes by host, longer prefixes first."""
+    """Group routes by host, longer prefixes first."""
     grouped: dict[str, list[Route]] = {}
     for route in sorted(routes, key=lambda route: -len(route.prefix)):
         grouped.setdefault(route.host, []).append(route)
--- a/src/ridgecourse/core/suspect.py
+++ b/src/ridgecourse/core/suspect.py
@@ -25,7 +25,7 @@
     """An engine that ended.
 
     Attributes:
-        life: Incarnation of the engine.
+        incarnation: Incarnation of the engine.
         age: Seconds since the end.
     """
 
@@ -73,7 +73,7 @@
     Attributes:
         request_id: Identity that the client gave to this attempt.
         signature: Signature of the request.
-        life: Incarnation of the engine.
+        incarnation: Incarnation of the engine.
         address: HOST:PORT of the engine.
     """
 
@@ -87,7 +87,7 @@
     """A suspected request that another gateway runs on an engine.
 
     Attributes:
-        life: Incarnation of the engine.
+        incarnation: Incarnation of the engine.
         until: Time at which the request is assumed to have ended.
     """
 
@@ -116,8 +116,8 @@
         """Return the engines whose ends are strikes against the request."""
         incarnations = {
             incarnation
-            for incarnation, ended in self.ends.items()
-            if incarnation not in self.cleared and now - ended <= MARK_SECONDS
+            for incarnation, ended_at in self.ends.items()
+            if incarnation not in self.cleared and now - ended_at <= MARK_SECONDS
         }
         # An incarnation without a start may be any incarnation of its target, so it is
         # no strike next to one with a start.
@@ -144,5 +144,6 @@
     """Return the newest ends with their ages, as they are sent to other gateways."""
     newest = sorted(ends.items(), key=lambda item: item[1])[-MAX_REPORTED_ENDS:]
     return tuple(
-        EngineEnd(incarnation, round(now - ended, 3)) for incarnation, ended in newest
+        EngineEnd(incarnation, round(now - ended_at, 3))
+        for incarnation, ended_at in newest
     )
--- a/src/ridgecourse/core/target_states.py
+++ b/src/ridgecourse/core/target_states.py
@@ -28,11 +28,11 @@
         failures: Number of consecutive failures.
         ejections: Number of ejections since the last success.
         not_before: Time at which the target may be chosen again.
-        ways: Recent times to establish a connection to the target.
+        network_delays: Recent times to establish a connection to the target.
     """
 
-    def __init__(self, ways: RecentPeak) -> None:
-        self.ways = ways
+    def __init__(self, network_delays: RecentPeak) -> None:
+        self.ways = network_delays
         self.failures = 0
         self.ejections = 0
         self.not_before = Seconds(0.0)
@@ -58,7 +58,7 @@
     """Health of the latest incarnation of each target as this gateway observes it.
 
     Attributes:
-        ways: Network delay to each target, shared by all its incarnations.
+        network_delays: Network delay to each target, shared by all its incarnations.
     """
 
     def __init__(self) -> None:
@@ -77,6 +77,6 @@
         delays, requests would be sent to it as if the link were fast.
         """
         self.forget_unlisted(listed)
-        for name in [name for name in self.ways if name not in self.lives]:
-            if self.ways[name].expect(now) < NEGLIGIBLE_DELAY_SECONDS:
-                del self.ways[name]
+        for target in [target for target in self.ways if target not in self.lives]:
+            if self.ways[target].expect(now) < NEGLIGIBLE_DELAY_SECONDS:
+                del self.ways[target]
--- a/src/ridgecourse/core/targets.py
+++ b/src/ridgecourse/core/targets.py
@@ -26,7 +26,7 @@
 states that live targets are listed again within about 2 seconds after an outage. The
 end of an outage is noticed up to 0.5 s late, which leaves time to read the new entries.
 With a longer time, requests would go to targets that stopped during the outage."""
-UNLISTED_KEPT = 1000
+MAX_UNLISTED = 1000
 """Number of unlisted targets whose offsets and start are remembered, so that no older
 record lists them again. Far fewer targets are removed in the time in which such a
 record may still arrive."""
@@ -82,8 +82,8 @@
         Args:
             layers: Number of layers of the model.
         """
-        held = self.layers
-        return held is not None and held.first == 0 and held.end >= layers
+        loaded = self.layers
+        return loaded is not None and loaded.first == 0 and loaded.end >= layers
 
     @property
     def host(self) -> str:
@@ -134,10 +134,10 @@
 
     Attributes:
         targets: All listed targets, including those that are leaving.
-        removed: Targets with a removal that may be listed again, and the time until
+        removed: Targets that were removed but may be listed again, and the time until
             which they are kept.
         kept_until: Time until which removals do not take effect.
-        heard: History of each target, listed or not.
+        histories: History of each target, listed or not.
     """
 
     def __init__(self) -> None:
@@ -208,10 +208,10 @@
             self.removed.pop(record.target, None)
 
     def _forget_unlisted(self) -> None:
-        """Drop the records of the unlisted targets, except the most recent ones."""
-        unlisted = [name for name in self.heard if name not in self.targets]
-        for name in unlisted[:-UNLISTED_KEPT]:
-            del self.heard[name]
+        """Drop the histories of the unlisted targets, except the most recent ones."""
+        unlisted = [target for target in self.heard if target not in self.targets]
+        for target in unlisted[:-MAX_UNLISTED]:
+            del self.heard[target]
 
     def replace(self, records: Iterable[TargetRecord], now: Seconds) -> None:
         """Replace the whole list; targets without a record are removed.
@@ -223,7 +223,7 @@
         listed = list(records)
         self.apply(listed, now)
         present = {record.target for record in listed}
-        for target in [name for name in self.targets if name not in present]:
+        for target in [target for target in self.targets if target not in present]:
             self._remove(target, now)
 
     def _remove(self, target: TargetId, now: Seconds) -> None:
@@ -241,7 +241,7 @@
 
     def expire(self, now: Seconds) -> Iterator[TargetId]:
         """Drop and yield the removed targets that were not listed again in time."""
-        for target in [name for name, end in self.removed.items() if end <= now]:
+        for target in [target for target, end in self.removed.items() if end <= now]:
             self.drop(target)
             yield target
 
