--- a/src/ridgecourse/core/config.py
+++ b/src/ridgecourse/core/config.py
@@ -49,7 +49,7 @@
 
 MAX_ORIGIN_COPIES = 4
 MAX_PRIORITY = 9
-OUTCOMES_KEPT = 4096
+MAX_OUTCOMES = 4096
 """Change ids remembered; an older one sent again counts as new."""
 
 
@@ -110,15 +110,15 @@
         self.offset = Offset(offset + 1)
         if not isinstance(record, ChangeRecord):
             return None
-        known = self.outcomes.get(record.change_id)
-        if known is not None:
-            return known
+        first_outcome = self.outcomes.get(record.change_id)
+        if first_outcome is not None:
+            return first_outcome
         outcome = self._decide(offset, record)
-        self._remember(record.change_id, outcome)
+        self._remember_outcome(record.change_id, outcome)
         return outcome
 
     def _decide(self, offset: Offset, record: ChangeRecord) -> ChangeOutcome:
-        current = self._current(record)
+        current = self._current_object(record)
         revision = 0 if current is None else current.revision
         expected = record.expected_revision
         if expected is not None and expected != revision:
@@ -129,15 +129,15 @@
             reason = decision.failure()
             return ChangeOutcome(ChangeStatus.REJECTED, offset, revision, reason)
         changed = structs.replace(decision.unwrap(), revision=offset + 1)
-        self._store(changed)
+        self._store_object(changed)
         return ChangeOutcome(ChangeStatus.ACCEPTED, offset, offset + 1)
 
-    def _remember(self, change_id: ChangeId, outcome: ChangeOutcome) -> None:
+    def _remember_outcome(self, change_id: ChangeId, outcome: ChangeOutcome) -> None:
         self.outcomes[change_id] = outcome
-        if len(self.outcomes) > OUTCOMES_KEPT:
+        if len(self.outcomes) > MAX_OUTCOMES:
             del self.outcomes[next(iter(self.outcomes))]
 
-    def _current(self, record: ChangeRecord) -> AnyObject | None:
+    def _current_object(self, record: ChangeRecord) -> AnyObject | None:
         """Return the object that a change is about, as it is now."""
         change = record.change
         if isinstance(change, CreateFleet):
@@ -150,7 +150,7 @@
             return self.accounts.get((change.fleet, change.account))
         return self.services.get((change.fleet, change.service))
 
-    def _store(self, changed: AnyObject) -> None:
+    def _store_object(self, changed: AnyObject) -> None:
         if isinstance(changed, Fleet):
             self.fleets[changed.fleet] = changed
         elif isinstance(changed, Service):
@@ -159,10 +159,10 @@
             self.versions[changed.fleet, changed.model, changed.version] = changed
         elif isinstance(changed, Target):
             self.targets[changed.fleet, changed.target] = changed
-            of_service = self.by_service.setdefault(
+            targets_of_service = self.by_service.setdefault(
                 (changed.fleet, changed.service), {}
             )
-            of_service[changed.target] = changed
+            targets_of_service[changed.target] = changed
         else:
             self.accounts[changed.fleet, changed.account] = changed
             self.by_key[changed.fleet, changed.key_digest] = changed.account
@@ -206,10 +206,10 @@
 
     def _place(self, change: Place) -> Decision:
         return self._find_service(change.fleet, change.service).bind(
-            lambda service: self._place_on(service, change)
+            lambda service: self._place_version(service, change)
         )
 
-    def _place_on(self, service: Service, change: Place) -> Decision:
+    def _place_version(self, service: Service, change: Place) -> Decision:
         if service.kind is not ServiceKind.MODEL:
             return Failure(f"service {service.service} serves no model")
         version = self.versions.get((change.fleet, change.model, change.version))
@@ -287,18 +287,18 @@
         name = self.by_key.get((fleet, key_digest))
         account = None if name is None else self.accounts[fleet, name]
         # A key that the account no longer has is none.
-        valid = account is not None and account.key_digest == key_digest
-        return account if valid else None
+        has_key = account is not None and account.key_digest == key_digest
+        return account if has_key else None
 
     def snapshot(self) -> ConfigSnapshot:
         """Return the whole state in a fixed order."""
         return ConfigSnapshot(
             self.offset,
-            _in_order(self.fleets),
-            _in_order(self.services),
-            _in_order(self.versions),
-            _in_order(self.targets),
-            _in_order(self.accounts),
+            _sorted_values(self.fleets),
+            _sorted_values(self.services),
+            _sorted_values(self.versions),
+            _sorted_values(self.targets),
+            _sorted_values(self.accounts),
             dict(self.outcomes),
         )
 
@@ -318,7 +318,7 @@
         self.by_service.clear()
         self.by_key.clear()
         for found in _snapshot_objects(snapshot):
-            self._store(found)
+            self._store_object(found)
         self.outcomes = dict(snapshot.outcomes)
         return True
 
@@ -337,7 +337,7 @@
     )
 
 
-def _in_order(objects: dict[Any, ObjectT]) -> list[ObjectT]:
+def _sorted_values(objects: dict[Any, ObjectT]) -> list[ObjectT]:
     return [objects[key] for key in sorted(objects)]
 
 
--- a/src/ridgecourse/core/draw_order.py
+++ b/src/ridgecourse/core/draw_order.py
@@ -1,13 +1,15 @@
-"""Which of two versions of weights is drawn from their origin first.
-
-Load pattern: a version is named some seconds after another one that is still being
-drawn. Its origin serves all of a site over one link, and may go away for some seconds
-while both are of use. What is drawn of the older version delays the newer one, and an
-engine that takes both is out twice; but once the older one is here, no outage can take
-it away. Which of them leaves engines without weights for a shorter time follows from
-what is left to draw of each and from when what engines have ends.
-
-Asked by the gateways that draw for all others, of what each of them lacks.
+"""Decide which of two versions of weights is fetched from the origin first.
+
+A version may be named a few seconds after another one that is still being fetched. The
+origin serves a whole site over one link, and it may fail for several seconds while both
+versions are usable. The part of the older version that is still fetched delays the
+newer one, and an engine that loads both versions is out of service twice. A complete
+older version, however, cannot be lost to an outage of the origin. The order that leaves
+engines without weights for less time follows from the missing part of each version and
+from the bound of the engines' current weights.
+
+The gateways that fetch for their domains call this module with the parts that each
+gateway lacks.
 """
 
 from collections.abc import Iterator
@@ -18,20 +20,20 @@
 from ridgecourse.core.ids import Seconds
 from ridgecourse.core.supersession import START_SECONDS
 
-HAND_ON_SECONDS = 1.0
-"""From the last chunk's reaching a gateway until an engine's instance has it: the end
-of a copy over the instance's own link, which follows the draw."""
+DISTRIBUTION_SECONDS = 1.0
+"""Seconds from the last chunk's arrival at a gateway until it reaches an engine's
+instance: the end of the copy over the instance's own link, which follows the fetch."""
 OUTAGE_SECONDS = 6.0
-"""Outage that a draw is to outlast: the time in which an origin that fails has been
-started again."""
+"""Duration, in seconds, of the origin outage that a fetch has to survive: the time in
+which a failed origin is restarted."""
 
 
 class Draw(Struct, frozen=True):
-    """What is left to draw of a version.
+    """The remaining fetch of a version.
 
     Attributes:
-        seconds: That it takes.
-        bound: When requests may no longer begin on older versions.
+        seconds: Duration of the remaining fetch.
+        bound: Time after which no request may start on an older version.
     """
 
     seconds: float
@@ -39,38 +41,49 @@
 
 
 def goes_first(older: Draw, newer: Draw, now: Seconds) -> bool:
-    """Tell whether an older version is drawn to its end before a newer one.
+    """Return whether an older version is fetched completely before a newer one.
 
-    If not, it need not be drawn at all: the newer one is there no later than both.
+    If not, the older version need not be fetched at all: without it the newer one is
+    available no later.
     """
-    outages = (0.0, older.seconds, inf)
-    both = sum(_idle_with_both(older, newer, now, begins) for begins in outages)
-    newer_alone = sum(_idle(newer, older.bound, now, begins) for begins in outages)
-    return both < newer_alone
-
-
-def _idle_with_both(older: Draw, newer: Draw, now: Seconds, begins: float) -> float:
-    """Return the seconds without weights if both are drawn, the older one first."""
-    first, second = _ready_times((older, newer), begins)
-    without = max(0.0, now + first - older.bound)
-    return without + max(0.0, now + second - max(newer.bound, now + first))
-
-
-def _idle(newer: Draw, bound: Seconds, now: Seconds, begins: float) -> float:
-    """Return the seconds without weights if the newer version alone is drawn."""
-    (ready,) = _ready_times((newer,), begins)
+    outage_starts = (0.0, older.seconds, inf)
+    idle_with_both = sum(
+        _idle_seconds_with_both(older, newer, now, outage_start)
+        for outage_start in outage_starts
+    )
+    idle_newer_only = sum(
+        _idle_seconds_newer_only(newer, older.bound, now, outage_start)
+        for outage_start in outage_starts
+    )
+    return idle_with_both < idle_newer_only
+
+
+def _idle_seconds_with_both(
+    older: Draw, newer: Draw, now: Seconds, outage_start: float
+) -> float:
+    """Return the seconds without weights if both are fetched, the older one first."""
+    older_ready, newer_ready = _ready_times((older, newer), outage_start)
+    idle = max(0.0, now + older_ready - older.bound)
+    return idle + max(0.0, now + newer_ready - max(newer.bound, now + older_ready))
+
+
+def _idle_seconds_newer_only(
+    newer: Draw, bound: Seconds, now: Seconds, outage_start: float
+) -> float:
+    """Return the seconds without weights if only the newer version is fetched."""
+    (ready,) = _ready_times((newer,), outage_start)
     return max(0.0, now + ready - bound)
 
 
-def _ready_times(draws: tuple[Draw, ...], begins: float) -> Iterator[float]:
-    """Yield after how many seconds engines have each of some versions.
+def _ready_times(fetches: tuple[Draw, ...], outage_start: float) -> Iterator[float]:
+    """Yield the seconds after which engines have each of some versions.
 
     Args:
-        draws: Drawn one after the other.
-        begins: Seconds until the origin goes away; infinite for never.
+        fetches: The fetches, made one after the other.
+        outage_start: Seconds until the origin fails; infinite for never.
     """
     total = 0.0
-    for draw in draws:
-        total += draw.seconds
-        away = OUTAGE_SECONDS if total > begins else 0.0
-        yield total + away + HAND_ON_SECONDS + START_SECONDS
+    for fetch in fetches:
+        total += fetch.seconds
+        outage = OUTAGE_SECONDS if total > outage_start else 0.0
+        yield total + outage + DISTRIBUTION_SECONDS + START_SECONDS
--- a/src/ridgecourse/core/fetches.py
+++ b/src/ridgecourse/core/fetches.py
@@ -1,4 +1,4 @@
-"""What the planner of the exchange is told and what it answers."""
+"""Input and output types of the chunk planner."""
 
 from enum import Enum
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 from ridgecourse.core.ids import ChunkDigest, DomainName, Seconds, TargetName
 
 ORIGIN = TargetName("")
-"""Stands for the origin where a source is named."""
+"""Source name that denotes the origin."""
 
 
 class Member(NamedTuple):
@@ -19,11 +19,11 @@
 
 
 class Fetch(NamedTuple):
-    """An order to fetch a chunk.
+    """A fetch of one chunk that the planner asks for.
 
     Attributes:
         digest: The chunk.
-        source: An agent, or ORIGIN.
+        source: Name of an agent, or ORIGIN.
     """
 
     digest: ChunkDigest
@@ -31,7 +31,7 @@
 
 
 class FetchFailure(Enum):
-    """Why a fetch gave nothing."""
+    """Why a fetch returned no chunk."""
 
     BUSY = "busy"
     REFERRED = "referred"
@@ -42,19 +42,22 @@
 
 
 class PlanPolicy(Struct, frozen=True):
-    """Bounds of the planner.
+    """Limits of the chunk planner.
 
     Attributes:
-        classes: Draw slots for a copy from the origin; also the most fetches
-            from the origin at a time for each copy.
-        neighbours: Agents of the own domain whose holdings are followed.
-        origin_fetches: Fetches from the origin in progress at a time.
-        fetches: Fetches in progress at a time.
-        per_source: Fetches in progress from one source.
-        busy_seconds: How long a source is left alone after it was busy.
-        referred_seconds: How long a source is not asked for a chunk that it
-            has sent often enough.
-        back_off_seconds: First wait after a failure of a source; doubles.
+        classes: Number of fetch slots for each copy from the origin; also the maximum
+            number of concurrent fetches from the origin for each copy.
+        neighbours: Number of agents of the local domain whose holdings are followed.
+        origin_fetches: Maximum number of fetches from the origin in progress.
+        fetches: Number of fetches in progress, those from the origin included, up to
+            which fetches from other agents are started.
+        per_source: Maximum number of fetches in progress from one source.
+        busy_seconds: Mean back-off after a source replied that it was busy.
+        referred_seconds: Back-off for a chunk at a source that has already sent the
+            chunk to its limit of agents.
+        back_off_seconds: First back-off after a source failed; doubles with each
+            consecutive failure.
+        max_back_off_seconds: Upper limit of a back-off.
         stall_seconds: Shortest time without progress that counts as a stall.
     """
 
@@ -71,18 +74,19 @@
 
 
 class SourceState(Struct):
-    """What is known of a source.
+    """The known state of a source.
 
     Attributes:
-        held: Chunks it is known to hold.
-        fetching: Fetches in progress from it.
-        not_before: When it may be asked again.
-        failures: Failures in a row.
-        later: Chunks that it referred to others, and until when.
+        held: Chunks that the source is known to hold.
+        active_fetches: Number of fetches in progress from the source.
+        not_before: Time from which the source may be asked again.
+        failures: Number of consecutive failures.
+        referred_until: Chunks that the source referred to other sources, with the time
+            until which it is not asked for them.
     """
 
     held: set[ChunkDigest]
-    fetching: int = 0
+    active_fetches: int = 0
     not_before: Seconds = Seconds(0.0)
     failures: int = 0
-    later: dict[ChunkDigest, Seconds] = field(default_factory=dict)
+    referred_until: dict[ChunkDigest, Seconds] = field(default_factory=dict)
--- a/src/ridgecourse/core/hubs.py
+++ b/src/ridgecourse/core/hubs.py
@@ -1,10 +1,11 @@
-"""Hubs: the gateways that bring a version of weights into their failure domain.
-
-An instance beside an engine has a small link, which its engine's answers share.
-A gateway's link is some hundred times larger. So one gateway a domain draws the
-version, and the loaders of the domain take it from there; no loader sends. The
-next gateway in line holds the version as well, copied within the domain, so that
-the loss of a hub costs no second copy from the origin or across a border.
+"""Choose hubs: the gateways that fetch a version of weights into their failure domain.
+
+The instance of an engine has a narrow link, which it shares with the engine's
+responses. The link of a gateway is about 100 times wider. Therefore one gateway of each
+domain, the hub, fetches the version, and the loaders of the domain fetch it from the
+hub; loaders send nothing. A standby hub holds the version as well, copied within the
+domain, so that the loss of a hub costs no second copy from the origin or across a
+domain border.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -16,23 +17,24 @@
 from ridgecourse.core.targets import ListedTarget
 
 GATEWAYS_PATH = "/gateways"
-"""Where a gateway tells which gateways there are."""
-HOLDERS = 2
-"""Gateways of a domain that bring a version in: the hub and the next in line."""
-NEIGHBOURS = 3
-"""Gateways of a domain that may hold a version: the hub, the next in line, and the
-one that was pushed back by a gateway that came later."""
+"""URL path under which a gateway lists the known gateways."""
+HUBS_PER_DOMAIN = 2
+"""Number of gateways of a domain that fetch a version: the hub and the standby hub."""
+SOURCES_PER_DOMAIN = 3
+"""Number of gateways of a domain that may hold a version: the hub, the standby hub, and
+the former standby hub that a newly joined gateway displaced."""
 
 
 class Peer(Struct, frozen=True):
-    """Where a process takes part in the exchange of weights.
+    """The addresses of a process in the exchange of weights.
 
     Attributes:
-        name: Names it among the members of the exchange.
-        domain: Its failure domain.
+        name: Name of the process among the members of the exchange.
+        domain: Failure domain of the process.
         address: HOST:PORT for chunks.
         control_address: HOST:PORT for control connections.
-        link: Capacity of its instance's link, in bytes a second; 0 if not known.
+        link: Link capacity of the process's instance, in bytes per second; 0 if
+            unknown.
     """
 
     name: TargetName
@@ -45,33 +47,35 @@
 def rank_gateways(
     key: str, gateways: Iterable[Peer]
 ) -> Mapping[DomainName, Sequence[Peer]]:
-    """Return the gateways of each domain, its hub first, then who follows it.
+    """Return the gateways of each domain, the hub first, then its successors in order.
 
-    Those with the widest links go first: a hub sends a copy to each loader of its
-    domain, and one with 20 Mbit/s takes some 15 s for ten copies of 2.4 MB.
+    Gateways with the widest links come first: a hub sends a copy to each loader of its
+    domain, and a hub with 20 Mbit/s takes about 15 s for ten copies of 2.4 MB.
 
     Args:
-        key: Names the version; each has an order of its own.
-        gateways: All known ones; who knows the same ones gets the same order.
+        key: Key of the version; each version has its own order.
+        gateways: All known gateways. Processes that know the same gateways compute the
+            same order.
 
     Returns:
-        The domains, that of the hub first in line for the origin first.
+        The gateways by domain. The domain whose hub has priority at the origin comes
+        first.
     """
     by_name = {gateway.name: gateway for gateway in gateways}
     ranked: dict[DomainName, list[Peer]] = {}
     names = rendezvous_rank(key, by_name)
-    placed = [by_name[TargetName(name)] for name in names]
-    for gateway in sorted(placed, key=lambda gateway: -gateway.link):
+    ordered = [by_name[TargetName(name)] for name in names]
+    for gateway in sorted(ordered, key=lambda gateway: -gateway.link):
         ranked.setdefault(gateway.domain, []).append(gateway)
     return ranked
 
 
 def choose_hubs(key: str, gateways: Iterable[Peer]) -> Sequence[Peer]:
-    """Return the hub of each domain, the first of them first in line for the origin.
+    """Return the hub of each domain; the first one has priority at the origin.
 
     Args:
-        key: Names the version.
-        gateways: All known ones.
+        key: Key of the version.
+        gateways: All known gateways.
     """
     return [ranked[0] for ranked in rank_gateways(key, gateways).values()]
 
@@ -79,7 +83,7 @@
 def loader_peers(
     targets: Iterable[ListedTarget], ports: tuple[int, int]
 ) -> Mapping[TargetName, Peer]:
-    """Return where the loaders beside listed engines take part, by instance.
+    """Return the loaders beside listed engines as peers, by instance.
 
     Args:
         targets: The engines.
@@ -98,51 +102,52 @@
 
 
 def seed_peers(seeds: Iterable[str], chunk_port: int) -> Sequence[str]:
-    """Return HOST:PORT for records of the processes on some instances.
+    """Return the HOST:PORT addresses for records of the processes on some instances.
 
     Args:
-        seeds: HOST:PORT of instances, for whatever purpose.
-        chunk_port: Port for chunks and records of every process.
+        seeds: HOST:PORT of the instances, with any port.
+        chunk_port: Port of every process for chunks and records.
     """
     return [f"{seed.rpartition(':')[0]}:{chunk_port}" for seed in seeds]
 
 
-def nearest_first(peers: Iterable[Peer], me: Peer) -> Sequence[str]:
-    """Return the addresses of other processes, those of the own domain first."""
-    others = {peer.address: peer for peer in peers if peer.name != me.name}
-    return sorted(others, key=lambda address: others[address].domain != me.domain)
+def nearest_first(peers: Iterable[Peer], local: Peer) -> Sequence[str]:
+    """Return the addresses of other processes, those of the local domain first."""
+    others = {peer.address: peer for peer in peers if peer.name != local.name}
+    return sorted(others, key=lambda address: others[address].domain != local.domain)
 
 
 class HubPlan(Struct, frozen=True):
-    """Who takes part in bringing a version in, as one gateway sees it.
+    """The gateways that fetch a version, as one gateway computes them.
 
     Attributes:
         hubs: The hub of each domain.
-        near: Gateways of the own domain that may hold it, this one excluded.
-        holds: Whether this gateway is one that brings it in.
+        near: Other gateways of the local domain that may hold the version.
+        holds: Whether the local gateway is a hub or standby hub that fetches the
+            version.
     """
 
     hubs: Sequence[Peer]
     near: Sequence[Peer]
     holds: bool
 
-    def sources(self, me: Peer) -> Mapping[TargetName, Peer]:
-        """Return whom the gateway takes chunks from."""
+    def sources(self, local: Peer) -> Mapping[TargetName, Peer]:
+        """Return the peers from which the local gateway fetches chunks, by name."""
         peers = {peer.name: peer for peer in [*self.hubs, *self.near]}
-        peers.pop(me.name, None)
+        peers.pop(local.name, None)
         return peers
 
 
-def plan_hubs(key: str, gateways: Iterable[Peer], me: Peer) -> HubPlan:
-    """Return who brings a version in.
+def plan_hubs(key: str, gateways: Iterable[Peer], local: Peer) -> HubPlan:
+    """Return the gateways that fetch a version.
 
     Args:
-        key: Names the version.
-        gateways: The known ones.
-        me: The gateway that asks.
+        key: Key of the version.
+        gateways: The known gateways.
+        local: The local gateway.
     """
-    ranked = rank_gateways(key, [*gateways, me])
-    order = ranked[me.domain]
-    near = [peer for peer in order[:NEIGHBOURS] if peer != me]
+    ranked = rank_gateways(key, [*gateways, local])
+    local_ranking = ranked[local.domain]
+    near = [peer for peer in local_ranking[:SOURCES_PER_DOMAIN] if peer != local]
     hubs = [domain[0] for domain in ranked.values()]
-    return HubPlan(hubs, near, me in order[:HOLDERS])
+    return HubPlan(hubs, near, local in local_ranking[:HUBS_PER_DOMAIN])
--- a/src/ridgecourse/core/lease.py
+++ b/src/ridgecourse/core/lease.py
@@ -55,9 +55,9 @@
         self.token: Offset | None = None
         self.expires = Seconds(0.0)
         self.usable_from = Seconds(0.0)
-        self.other: LeaseRecord | None = None
+        self.other_lease: LeaseRecord | None = None
         self.other_offset = Offset(-1)
-        self.other_seen = Seconds(0.0)
+        self.other_seen_at = Seconds(0.0)
 
     def observe(self, offset: Offset, record: LeaseRecord, now: Seconds) -> None:
         """Take note of a lease record read from the log."""
@@ -65,12 +65,12 @@
             return
         if record.holder == self.holder:
             return
-        self.other = record
+        self.other_lease = record
         self.other_offset = offset
-        self.other_seen = now
+        self.other_seen_at = now
 
     def granted(
-        self, token: Offset, sent: Seconds, seconds: float, now: Seconds
+        self, token: Offset, sent_at: Seconds, seconds: float, now: Seconds
     ) -> None:
         """Take a lease whose record was read back.
 
@@ -81,18 +81,18 @@
             now: The present time.
         """
         self.token = token
-        self.expires = Seconds(sent + seconds)
-        self.usable_from = self._wait_out(now)
+        self.expires = Seconds(sent_at + seconds)
+        self.usable_from = self._previous_lease_end(now)
 
-    def _wait_out(self, now: Seconds) -> Seconds:
+    def _previous_lease_end(self, now: Seconds) -> Seconds:
         """Return when the holder before can no longer give orders.
 
         An engine that refuses old tokens needs no wait.
         """
-        if self.fenced or self.other is None:
+        if self.fenced or self.other_lease is None:
             return now
-        span = self.other.seconds * CLOCK_RATE_MARGIN
-        return Seconds(max(now, self.other_seen + span))
+        max_remaining = self.other_lease.seconds * CLOCK_RATE_MARGIN
+        return Seconds(max(now, self.other_seen_at + max_remaining))
 
     def may_order(self, now: Seconds) -> bool:
         """Tell whether an order may be given right now."""
--- a/src/ridgecourse/core/manifest.py
+++ b/src/ridgecourse/core/manifest.py
@@ -132,13 +132,13 @@
         yield Finding("files", "expected distinct paths in sorted order")
     lengths: dict[ChunkDigest, int] = {}
     for index, entry in enumerate(manifest.files):
-        yield from _find_file_faults(f"files[{index}]", entry, manifest.chunk_size)
+        yield from _find_file_problems(f"files[{index}]", entry, manifest.chunk_size)
     for place in manifest.chunk_places():
         if lengths.setdefault(place.digest, place.length) != place.length:
             yield Finding(place.path, f"chunk {place.digest} has two lengths")
 
 
-def _find_file_faults(
+def _find_file_problems(
     place: str, entry: FileEntry, chunk_size: int
 ) -> Iterator[Finding]:
     path = PurePosixPath(entry.path)
--- a/src/ridgecourse/core/old_weights.py
+++ b/src/ridgecourse/core/old_weights.py
@@ -1,9 +1,10 @@
-"""Until when a request may begin on weights that are about to be replaced.
+"""Decide until when a request may start on weights that are about to be replaced.
 
-What bounds the last start on old weights: a request that has not begun is taken back.
-That takes a while, for the process may be late for its timer and the way to the engine
-may be long; both are observed. A request whose wait is a guess is taken back only if
-the guess was wrong; one that would likely be is not sent there at all.
+A gateway withdraws a request that has not started when its weights reach their bound.
+The withdrawal takes time, because the gateway's timer may fire late and the network
+delay to the engine may be long; both are measured. If the waiting time of a request is
+an estimate, the request is withdrawn only if the estimate was wrong; a request that
+would probably be withdrawn is not sent to the engine at all.
 """
 
 from msgspec import Struct
@@ -11,36 +12,39 @@
 from ridgecourse.core.ids import Seconds
 
 TAKE_BACK_SECONDS = 0.2
-"""Before the bound, by when a request must have begun, beyond what way and process are
-late by: they may be later than lately. Some 20 round trips between the farthest
-domains."""
+"""Margin, in seconds, before the bound by which a request must have started, in
+addition to the recent network delay and timer delay: both may exceed their recent
+values. The margin is about 20 round trips between the two most distant domains."""
 BEGIN_SECONDS = 0.3
-"""From sending a request to its first event at an engine with a free slot."""
+"""Seconds from sending a request until its first event, at an engine with a free
+slot."""
 
 
 class TakeBack(Struct, frozen=True):
-    """What the end of a request meets on its way to an engine.
+    """The delays that the withdrawal of a request meets on its way to an engine.
 
     Attributes:
-        way: Longest recent way there, in seconds.
-        lag: Longest recent lateness of this process for its timers, in seconds.
+        network_delay: Longest recent delay to the engine, in seconds.
+        timer_delay: Longest recent delay of this process's timers, in seconds.
     """
 
-    way: float
-    lag: float
+    network_delay: float
+    timer_delay: float
 
     def begin_by(self, bound: Seconds) -> Seconds:
-        """Return when a request must have begun, else it is taken back."""
-        return Seconds(bound - TAKE_BACK_SECONDS - self.way - self.lag)
+        """Return the time by which a request must have started to avoid withdrawal."""
+        return Seconds(
+            bound - TAKE_BACK_SECONDS - self.network_delay - self.timer_delay
+        )
 
 
 def may_wait(now: Seconds, wait: float, delay: float, begin_by: Seconds) -> bool:
-    """Tell whether a request may be sent to an engine with old weights.
+    """Check whether a request may be sent to an engine with old weights.
 
     Args:
-        now: The present time.
-        wait: Estimated seconds until it would begin.
-        delay: By how much first events were later than estimated lately.
-        begin_by: When it must have begun.
+        now: The current time.
+        wait: Estimated seconds until the request would start.
+        delay: Seconds by which first events recently came later than estimated.
+        begin_by: When the request must have started.
     """
     return now + wait + delay + BEGIN_SECONDS < begin_by
--- a/src/ridgecourse/core/planner.py
+++ b/src/ridgecourse/core/planner.py
@@ -1,15 +1,15 @@
-"""The chunk planner: what an agent fetches next, and from whom.
+"""Chunk planner: choose which chunks an agent fetches next, and from which source.
 
-Pure: it is told what peers hold, what arrived and what failed, and answers with
-fetches. Sources are other agents of the same failure domain, agents of other
-domains for the few that bring chunks in, and the origin for the fewer that draw
-from it.
+The planner performs no input or output. It is informed which chunks peers hold, which
+chunks arrived and which fetches failed, and it returns fetches. Sources are other
+agents of the same failure domain; agents of other domains, for the few agents that
+import chunks; and the origin, for the still fewer agents that fetch from it.
 """
 
 from collections.abc import Iterable, Iterator, Sequence
 from random import Random
 
-from ridgecourse.core.exchange_place import ExchangePlace
+from ridgecourse.core.exchange_place import ExchangeRole
 from ridgecourse.core.fetches import (
     ORIGIN,
     Fetch,
@@ -28,28 +28,29 @@
 from ridgecourse.core.rendezvous import rendezvous_score
 from ridgecourse.core.slots import chunk_class
 
-LOST_FAILURES = 2
-"""Failures in a row after which a source counts as gone."""
+MAX_SOURCE_FAILURES = 2
+"""Number of consecutive failures after which a source counts as lost."""
 
 
 class ChunkPlanner:
     """Plans the fetches of one version for one agent.
 
     Attributes:
-        me: This agent.
-        root: The version.
-        missing: Chunks not yet held.
-        in_flight: Fetches in progress, by chunk.
-        place: This agent among those that exchange the version.
-        seen: Chunks that some agent of the fleet holds, as far as known.
-        seen_in_group: The same for the domains that share a copy from the origin.
-        seen_in_domain: The same for the own domain.
-        sources: The followed agents, and the origin.
+        local: The local agent.
+        root: Root digest of the version.
+        missing: Chunks that the agent does not hold yet.
+        in_flight: Sources of the fetches in progress, by chunk.
+        role: The agent's role among those that exchange the version.
+        seen: Chunks that some agent of the fleet is known to hold.
+        seen_in_group: Chunks that are known to be held in the domains that share a copy
+            from the origin.
+        seen_in_domain: Chunks that are known to be held in the local domain.
+        sources: State of each followed agent, by name.
     """
 
     def __init__(
         self,
-        me: Member,
+        local: Member,
         root: RootDigest,
         chunks: Iterable[ChunkDigest],
         held: Iterable[ChunkDigest],
@@ -61,16 +62,18 @@
         hubs: Iterable[TargetName] = (),
         origin_domain: DomainName | None = None,
     ) -> None:
-        self.place = ExchangePlace(
-            me, root, members, policy, origin_copies, hubs, origin_domain
+        self.place = ExchangeRole(
+            local, root, members, policy, origin_copies, hubs, origin_domain
         )
-        self.me = me
+        self.me = local
         self.root = root
         self.policy = policy
-        self.random = Random(f"{root}/{me.target}/{seed}")
+        self.random = Random(f"{root}/{local.target}/{seed}")
         self.chunks = tuple(dict.fromkeys(chunks))
         self.held = set(held) & set(self.chunks)
-        self.missing = dict.fromkeys(c for c in self.chunks if c not in self.held)
+        self.missing = dict.fromkeys(
+            chunk for chunk in self.chunks if chunk not in self.held
+        )
         self.in_flight: dict[ChunkDigest, list[TargetName]] = {}
         self.seen = set(self.held)
         self.seen_in_group = set(self.held)
@@ -80,19 +83,19 @@
         self.sources: dict[TargetName, SourceState] = {}
         self.origin = SourceState(set(self.chunks))
         classes = range(policy.classes)
-        self.origin_slots = [self.place.origin_slot(c, now) for c in classes]
-        self.import_slots = [self.place.import_slot(c, now) for c in classes]
+        self.origin_slots = [self.place.origin_slot(index, now) for index in classes]
+        self.import_slots = [self.place.import_slot(index, now) for index in classes]
         for target in self.neighbours():
             self.sources[target] = SourceState(set())
 
     def neighbours(self) -> Sequence[TargetName]:
-        """Return the agents whose holdings this one follows."""
+        """Return the agents whose holdings this agent follows."""
         return self.place.neighbours(self.import_slots)
 
     def peer_holds(
         self, peer: TargetName, chunks: Iterable[ChunkDigest], now: Seconds
     ) -> None:
-        """Note chunks that a followed agent holds."""
+        """Record chunks that a followed agent holds."""
         source = self.sources.get(peer)
         if source is None:
             return
@@ -102,34 +105,34 @@
                 continue
             source.held.add(digest)
             self.rarity[digest] = self.rarity.get(digest, 0) + 1
-            self._note_seen(digest, domain, now)
+            self._record_seen(digest, domain, now)
 
     def fleet_holds(self, chunks: Iterable[ChunkDigest], now: Seconds) -> None:
-        """Note chunks that someone of the fleet holds, told at second hand."""
+        """Record chunks that some agent of the fleet holds, from an indirect report."""
         for digest in chunks:
             if digest not in self.seen:
-                self._note_seen(digest, None, now)
+                self._record_seen(digest, None, now)
 
-    def _note_seen(
+    def _record_seen(
         self, digest: ChunkDigest, domain: DomainName | None, now: Seconds
     ) -> None:
-        """Note that a chunk is held in a domain, or somewhere not known."""
-        number = chunk_class(digest, self.policy.classes)
+        """Record that a chunk is held in a domain; None for an unknown domain."""
+        class_index = chunk_class(digest, self.policy.classes)
         self.seen.add(digest)
         in_group = domain in self.place.group or self.place.origin_copies == 1
         if in_group and digest not in self.seen_in_group:
             self.seen_in_group.add(digest)
-            self.origin_slots[number].progress(now)
-            self.origin_slots[number].taken_over = False
-            # An import can only be overdue once there is something to import.
-            slot = self.import_slots[number]
+            self.origin_slots[class_index].record_progress(now)
+            self.origin_slots[class_index].has_taken_over = False
+            # The import slot can stall only once the group holds a chunk to import.
+            slot = self.import_slots[class_index]
             slot.last_progress = max(slot.last_progress, now)
         if domain == self.me.domain and digest not in self.seen_in_domain:
             self.seen_in_domain.add(digest)
-            self.import_slots[number].progress(now)
+            self.import_slots[class_index].record_progress(now)
 
     def peer_lost(self, peer: TargetName) -> None:
-        """Forget what an agent held, since it cannot be followed any more."""
+        """Drop the holdings of an agent that cannot be followed any more."""
         source = self.sources.get(peer)
         if source is None:
             return
@@ -138,39 +141,43 @@
         source.held.clear()
 
     def arrived(self, digest: ChunkDigest, source: TargetName, now: Seconds) -> bool:
-        """Note a verified chunk.
+        """Record a verified chunk.
 
         Returns:
-            Whether it was still missing; if not, it was fetched twice.
+            Whether the chunk was still missing; if not, it was fetched twice.
         """
-        state = self._source(source)
+        state = self._source_state(source)
         state.failures = 0
         self._end_fetch(digest, source)
         if digest not in self.missing:
             return False
         del self.missing[digest]
         self.held.add(digest)
-        self._note_seen(digest, self.me.domain, now)
+        self._record_seen(digest, self.me.domain, now)
         if source == ORIGIN:
-            number = chunk_class(digest, self.policy.classes)
-            self.origin_slots[number].taken_over = True
+            class_index = chunk_class(digest, self.policy.classes)
+            self.origin_slots[class_index].has_taken_over = True
         return True
 
     def failed(
-        self, digest: ChunkDigest, source: TargetName, why: FetchFailure, now: Seconds
+        self,
+        digest: ChunkDigest,
+        source: TargetName,
+        failure: FetchFailure,
+        now: Seconds,
     ) -> None:
-        """Note a fetch that gave nothing, and leave its source alone for a while."""
-        state = self._source(source)
+        """Record a fetch without a result, and back off from its source."""
+        state = self._source_state(source)
         self._end_fetch(digest, source)
-        if why is FetchFailure.STALLED and source == ORIGIN:
-            self._note_origin_away(now)
-        if why is FetchFailure.MISSING and source != ORIGIN:
-            self._forget_held(state, digest)
+        if failure is FetchFailure.STALLED and source == ORIGIN:
+            self._record_origin_outage(now)
+        if failure is FetchFailure.MISSING and source != ORIGIN:
+            self._remove_held(state, digest)
             return
-        if why is FetchFailure.REFERRED:
-            state.later[digest] = Seconds(now + self.policy.referred_seconds)
+        if failure is FetchFailure.REFERRED:
+            state.referred_until[digest] = Seconds(now + self.policy.referred_seconds)
             return
-        if why is FetchFailure.BUSY:
+        if failure is FetchFailure.BUSY:
             wait = self.policy.busy_seconds * (0.5 + self.random.random())
         else:
             wait = self.policy.back_off_seconds * 2**state.failures
@@ -178,137 +185,154 @@
         wait = min(wait, self.policy.max_back_off_seconds)
         state.not_before = Seconds(now + wait)
 
-    def _note_origin_away(self, now: Seconds) -> None:
-        """Leave the origin to the first candidates again.
+    def _record_origin_outage(self, now: Seconds) -> None:
+        """Restart the stall time of all origin slots after an outage of the origin.
 
-        That a class made no progress is not their fault then. Else all hubs, who had
-        taken over one after the other, would draw a copy each at its return: six of
-        them shared its link, and the version was whole 3 s later than with one.
+        During the outage no candidate could make progress. Otherwise every hub would
+        take over in turn, and each would fetch a copy once the origin is back. In one
+        case six hubs shared the origin's link, and the version was complete 3 s later
+        than with a single hub.
         """
         for slot in self.origin_slots:
-            slot.restart(now)
+            slot.reset_stall_timer(now)
 
-    def _forget_held(self, state: SourceState, digest: ChunkDigest) -> None:
+    def _remove_held(self, state: SourceState, digest: ChunkDigest) -> None:
         if digest in state.held:
             state.held.discard(digest)
             self.rarity[digest] -= 1
 
-    def _source(self, source: TargetName) -> SourceState:
+    def _source_state(self, source: TargetName) -> SourceState:
         if source == ORIGIN:
             return self.origin
         return self.sources.setdefault(source, SourceState(set()))
 
     def _end_fetch(self, digest: ChunkDigest, source: TargetName) -> None:
-        fetching = self.in_flight.get(digest, [])
-        if source in fetching:
-            fetching.remove(source)
-            self._source(source).fetching -= 1
-        if not fetching:
+        fetch_sources = self.in_flight.get(digest, [])
+        if source in fetch_sources:
+            fetch_sources.remove(source)
+            self._source_state(source).active_fetches -= 1
+        if not fetch_sources:
             self.in_flight.pop(digest, None)
 
     def complete(self) -> bool:
-        """Tell whether every chunk is held."""
+        """Check whether every chunk is held."""
         return not self.missing
 
-    def plan(self, now: Seconds, one_by_one: bool = False) -> Iterator[Fetch]:
-        """Yield fetches to start now; each counts as in progress from then on.
+    def plan(self, now: Seconds, single_fetch: bool = False) -> Iterator[Fetch]:
+        """Yield the fetches to start now; each counts as in progress from then on.
 
         Args:
-            now: The present time.
-            one_by_one: Whether neighbours are asked for one chunk at a time.
+            now: The current time.
+            single_fetch: Whether at most one fetch may be in progress before neighbours
+                are asked for another chunk.
         """
         for fetch in self._origin_fetches(now):
-            yield self._begin(fetch)
-        most = 1 if one_by_one else self.policy.fetches
-        room = most - sum(map(len, self.in_flight.values()))
-        if room <= 0:
+            yield self._start_fetch(fetch)
+        limit = 1 if single_fetch else self.policy.fetches
+        free_fetches = limit - sum(map(len, self.in_flight.values()))
+        if free_fetches <= 0:
             return
-        for digest in self._wanted():
+        for digest in self._wanted_chunks():
             source = self._choose_source(digest, now)
             if source is None:
                 continue
-            yield self._begin(Fetch(digest, source))
-            room -= 1
-            if room <= 0:
+            yield self._start_fetch(Fetch(digest, source))
+            free_fetches -= 1
+            if free_fetches <= 0:
                 return
 
-    def _begin(self, fetch: Fetch) -> Fetch:
+    def _start_fetch(self, fetch: Fetch) -> Fetch:
         self.in_flight.setdefault(fetch.digest, []).append(fetch.source)
-        self._source(fetch.source).fetching += 1
+        self._source_state(fetch.source).active_fetches += 1
         return fetch
 
-    def _wanted(self) -> list[ChunkDigest]:
-        """Return the chunks to ask for: rarest first, ties in random order.
+    def _wanted_chunks(self) -> list[ChunkDigest]:
+        """Return the chunks to request, the rarest first and ties in random order.
 
-        Once nothing else is missing, chunks in flight are asked for again from
-        a second source, so that one slow source cannot hold the end up.
+        If all missing chunks are in flight, one of them is requested again from a
+        second source, so that a single slow source cannot delay completion.
         """
-        idle = [c for c in self.missing if c not in self.in_flight and c in self.rarity]
-        if idle:
-            order = [(self.rarity[c], self.random.random(), c) for c in idle]
-            return [digest for _, _, digest in sorted(order)]
+        unrequested = [
+            chunk
+            for chunk in self.missing
+            if chunk not in self.in_flight and chunk in self.rarity
+        ]
+        if unrequested:
+            ranked = [
+                (self.rarity[chunk], self.random.random(), chunk)
+                for chunk in unrequested
+            ]
+            return [digest for _, _, digest in sorted(ranked)]
         if all(digest in self.in_flight for digest in self.missing):
-            return [c for c in self.missing if len(self.in_flight[c]) == 1][:1]
+            return [chunk for chunk in self.missing if len(self.in_flight[chunk]) == 1][
+                :1
+            ]
         return []
 
     def _choose_source(self, digest: ChunkDigest, now: Seconds) -> TargetName | None:
         usable = [
-            (state.fetching, self.random.random(), target)
+            (state.active_fetches, self.random.random(), target)
             for target, state in self.sources.items()
             if digest in state.held
             and target not in self.in_flight.get(digest, ())
-            and state.fetching < self.policy.per_source
+            and state.active_fetches < self.policy.per_source
             and state.not_before <= now
-            and state.later.get(digest, now) <= now
+            and state.referred_until.get(digest, now) <= now
             and self._may_ask(target, digest, now)
         ]
         return min(usable)[2] if usable else None
 
     def _may_ask(self, target: TargetName, digest: ChunkDigest, now: Seconds) -> bool:
-        """Tell whether a chunk may be asked of an agent.
+        """Check whether a chunk may be requested from an agent.
 
-        Across a domain's border only the slot's holder asks, and only for what
-        nobody of the own domain is known to hold.
+        Across a domain border only the active candidates of the chunk's import slot
+        request chunks, and only those that no agent of the local domain is known to
+        hold.
         """
         domain = self.members.get(target)
         if domain == self.me.domain:
             return True
-        number = chunk_class(digest, self.policy.classes)
-        overdue = self.import_slots[number].overdue(now) > 0
-        if digest in self.seen_in_domain and not self._is_lost(digest, overdue, True):
+        class_index = chunk_class(digest, self.policy.classes)
+        import_is_stalled = self.import_slots[class_index].count_stalls(now) > 0
+        if digest in self.seen_in_domain and not self._is_lost(
+            digest, import_is_stalled, True
+        ):
             return False
         in_group = domain in self.place.group
-        if not in_group and not self.origin_slots[number].overdue(now):
+        if not in_group and not self.origin_slots[class_index].count_stalls(now):
             return False
-        return self.me.target in self.import_slots[number].drawers(now)
+        return self.me.target in self.import_slots[class_index].active_candidates(now)
 
     def _origin_fetches(self, now: Seconds) -> Iterator[Fetch]:
         if self.origin.not_before > now:
             return
-        for number, slot in enumerate(self.origin_slots):
-            if self.origin.fetching >= self.policy.origin_fetches:
+        for class_index, slot in enumerate(self.origin_slots):
+            if self.origin.active_fetches >= self.policy.origin_fetches:
                 return
-            drawers = slot.drawers(now)
-            if self.me.target not in drawers and not slot.taken_over:
+            active_candidates = slot.active_candidates(now)
+            if self.me.target not in active_candidates and not slot.has_taken_over:
                 continue
-            if self._draws_origin(number):
+            if self._fetches_from_origin(class_index):
                 continue
-            digest = self._next_origin_chunk(number, stalled=len(drawers) > 1)
+            digest = self._next_origin_chunk(
+                class_index, stalled=len(active_candidates) > 1
+            )
             if digest is not None:
                 yield Fetch(digest, ORIGIN)
 
-    def _draws_origin(self, number: int) -> bool:
+    def _fetches_from_origin(self, class_index: int) -> bool:
         return any(
-            ORIGIN in sources and chunk_class(digest, self.policy.classes) == number
+            ORIGIN in sources
+            and chunk_class(digest, self.policy.classes) == class_index
             for digest, sources in self.in_flight.items()
         )
 
-    def _next_origin_chunk(self, number: int, stalled: bool) -> ChunkDigest | None:
-        """Return the next chunk of a class that nobody is known to hold.
+    def _next_origin_chunk(self, class_index: int, stalled: bool) -> ChunkDigest | None:
+        """Return the next chunk of a class that no agent is known to hold.
 
-        The order is the same for all, so that a successor starts where its
-        predecessor ended. Once the class has stalled, chunks that someone held
-        but no followed agent holds now count too: their holder may be gone.
+        All agents use the same order, so a successor continues where its predecessor
+        stopped. If the class has stalled, chunks that some agent held but no followed
+        agent holds at present are included: their holder may be lost.
         """
         wanted = [
             digest
@@ -318,7 +342,7 @@
                 or self._is_lost(digest, stalled, False)
             )
             and digest not in self.in_flight
-            and chunk_class(digest, self.policy.classes) == number
+            and chunk_class(digest, self.policy.classes) == class_index
         ]
         return max(
             wanted,
@@ -326,21 +350,22 @@
             default=None,
         )
 
-    def _is_lost(self, digest: ChunkDigest, stalled: bool, local: bool) -> bool:
-        """Tell whether a chunk that someone held can no longer be had from it.
+    def _is_lost(self, digest: ChunkDigest, stalled: bool, domain_only: bool) -> bool:
+        """Check whether a chunk that some agent held is unavailable from every source.
 
         Args:
             digest: The chunk.
-            stalled: Whether its class makes no progress; else nothing is lost.
-            local: Whether only agents of the own domain count.
+            stalled: Whether the chunk's class makes no progress; otherwise no chunk
+                counts as lost.
+            domain_only: Whether only agents of the local domain are considered.
         """
         return stalled and not any(
             digest in state.held
-            and state.failures < LOST_FAILURES
-            and not (local and self.members.get(target) != self.me.domain)
+            and state.failures < MAX_SOURCE_FAILURES
+            and not (domain_only and self.members.get(target) != self.me.domain)
             for target, state in self.sources.items()
         )
 
     def wake_after(self) -> float:
-        """Return the seconds after which to plan again if nothing happens."""
+        """Return the seconds after which to plan again if no event occurs."""
         return self.policy.busy_seconds
--- a/src/ridgecourse/core/read_tree.py
+++ b/src/ridgecourse/core/read_tree.py
@@ -1,11 +1,12 @@
-"""Who reads the store for whom.
-
-A decision crosses the link between two regions once for each process that reads it
-from the store. So the gateways of a failure domain form a tree: the first of them reads
-the store, each other one a gateway before it, and loaders one of the gateways. Whoever
-hears nothing from there in time reads the store itself, but not all at once: where an
-answer of the store takes longer than anybody waits, as with large configurations in a
-burst, the link would carry a copy for each process, and all of them later still.
+"""Choose the process from which each process reads the store's decisions.
+
+A decision crosses the link between two regions once for each process that reads it from
+the store. Therefore the gateways of a failure domain form a tree: the first gateway
+reads the store, every other gateway reads from its parent, and each loader reads from
+one of the gateways. A process that receives nothing from its parent in time reads the
+store itself, but the number of such processes is limited. If an answer of the store
+takes longer than every timeout, as with bursts of large configurations, the link would
+otherwise carry one copy for each process and delay all of them further.
 """
 
 from collections.abc import Collection, Sequence
@@ -15,83 +16,95 @@
 from ridgecourse.core.rendezvous import rendezvous_rank
 
 FAN_OUT = 4
-"""Gateways that read from one: on an instance with 20 Mbit/s, four copies of a
-configuration of 54 KB take 90 ms. Three levels hold 85 gateways."""
+"""Number of gateways that read from one gateway. On an instance with 20 Mbit/s, four
+copies of a configuration of 54 KB take 90 ms. Three levels hold 85 gateways."""
 TREE_KEY = "records"
 PASSED_OVER = 2
-"""Processes that are late with what the store tells which another one passes over, one
-after the other, before it keeps to the last: with the first of the tree three read the
-store then, of which one may be out of its reach and one frozen."""
+"""Number of late processes that a process skips one after the other before it stays
+with the last. Together with the root of the tree, three processes then read the store,
+of which one may be unable to reach the store and one may be frozen."""
 READER_EACH_SECONDS = 1.5
-"""For each of which without word of the store one more is passed over, and so one more
-reads the store: all of the three may be out of its reach."""
+"""Seconds without an answer of the store for which one more process is skipped, so that
+one more process reads the store: all three readers may be unable to reach it."""
 LOADERS_THAT_READ = 2
-"""Loaders of a domain that turn to the store when all gateways are out of date, so that
-those have somebody to ask where the store turns them away: one may be frozen."""
-LONGEST_AGE_SECONDS = 30.0
-"""More says no more; who has heard nothing is infinitely late."""
+"""Number of loaders of a domain that read the store when all gateways are out of date.
+If the store rejects the gateways, they can read from these loaders; one of the two may
+be frozen."""
+MAX_AGE_SECONDS = 30.0
+"""Upper limit of the age that is taken into account. A process that has received
+nothing is infinitely late."""
 
 
-def gateway_parent(me: Peer, gateways: Collection[Peer]) -> Peer | None:
-    """Return whom a gateway reads decisions from; None for the store.
+def gateway_parent(local: Peer, gateways: Collection[Peer]) -> Peer | None:
+    """Return the peer from which a gateway reads decisions; None for the store.
 
     Args:
-        me: The gateway.
-        gateways: Known gateways that are not left out for now. Who knows others ranks
-            those in common alike, so that no two gateways read from each other.
+        local: The gateway.
+        gateways: Known gateways, without those that are skipped for now. Gateways that
+            know different sets rank the common members alike, so no two gateways read
+            from each other.
     """
-    near = {peer.name: peer for peer in gateways if peer.domain == me.domain}
-    ranked = rendezvous_rank(TREE_KEY, {*near, me.name})
-    place = ranked.index(me.name)
-    return near[TargetName(ranked[(place - 1) // FAN_OUT])] if place else None
+    domain_gateways = {
+        peer.name: peer for peer in gateways if peer.domain == local.domain
+    }
+    ranked = rendezvous_rank(TREE_KEY, {*domain_gateways, local.name})
+    position = ranked.index(local.name)
+    return (
+        domain_gateways[TargetName(ranked[(position - 1) // FAN_OUT])]
+        if position
+        else None
+    )
 
 
 def loader_parent(
-    me: Peer,
+    local: Peer,
     gateways: Collection[Peer],
     avoided: Collection[TargetName] = (),
     loaders: Collection[TargetName] = (),
 ) -> Peer | None:
-    """Return whom a loader reads decisions from; None for the store.
+    """Return the peer from which a loader reads decisions; None for the store.
 
-    While the domain has gateways, two of its loaders read the store when none of those
-    is up to date; the others go on asking. All of them at once kept the link between
-    two regions so full that nobody had an answer in time.
+    If the domain has gateways but none of them is up to date, two loaders of the domain
+    read the store, and the others keep asking a gateway. When all loaders read the
+    store at once, the link between two regions was so congested that no process
+    received an answer in time.
 
     Args:
-        me: The loader.
-        gateways: The known ones.
-        avoided: Gateways that are left alone for now.
-        loaders: The domain's loaders, as far as they are listed.
+        local: The loader.
+        gateways: The known gateways.
+        avoided: Gateways that are skipped for now.
+        loaders: The listed loaders of the domain.
     """
-    near = {peer.name: peer for peer in gateways if peer.domain == me.domain}
-    ranked = rendezvous_rank(f"{TREE_KEY}/{me.name}", near)
+    domain_gateways = {
+        peer.name: peer for peer in gateways if peer.domain == local.domain
+    }
+    ranked = rendezvous_rank(f"{TREE_KEY}/{local.name}", domain_gateways)
     for name in ranked:
         if name not in avoided:
-            return near[TargetName(name)]
-    readers = rendezvous_rank(f"{TREE_KEY}/loaders", {*loaders, me.name})
-    if not ranked or me.name in readers[:LOADERS_THAT_READ]:
+            return domain_gateways[TargetName(name)]
+    readers = rendezvous_rank(f"{TREE_KEY}/loaders", {*loaders, local.name})
+    if not ranked or local.name in readers[:LOADERS_THAT_READ]:
         return None
-    return near[TargetName(ranked[0])]
+    return domain_gateways[TargetName(ranked[0])]
 
 
 def count_readers(domain: DomainName, gateways: Collection[Peer]) -> int:
-    """Return how many processes of a domain may read the store, the caller among them.
+    """Return how many processes of a domain may read the store, the caller included.
 
     Args:
         domain: The domain.
-        gateways: The other ones that are known.
+        gateways: The other known gateways.
     """
-    near = sum(peer.domain == domain for peer in gateways)
-    return 1 + near + LOADERS_THAT_READ
+    other_gateways = sum(peer.domain == domain for peer in gateways)
+    return 1 + other_gateways + LOADERS_THAT_READ
 
 
 def choose_seed(host: str, seeds: Sequence[str]) -> str | None:
-    """Return which seed a process asks when it starts; None for a seed itself.
+    """Return the seed that a process asks when it starts; None for a seed itself.
 
     Args:
-        host: IP number of the process's instance.
-        seeds: HOST:PORT for records of the seeds.
+        host: IP address of the process's instance.
+        seeds: HOST:PORT of the seeds, for records.
     """
     if any(seed.rpartition(":")[0] == host for seed in seeds):
         return None
@@ -99,18 +112,17 @@
     return ranked[0] if ranked else None
 
 
-def may_pass_over(passed_over: int, age: float, receiving: bool) -> bool:
-    """Tell whether one more process that is late is passed over.
+def may_pass_over(skipped: int, age: float, receiving: bool) -> bool:
+    """Check whether one more late process may be skipped.
 
     Args:
-        passed_over: How many are, just now.
-        age: Seconds since the next one heard of the store.
-        receiving: Whether an answer of the store is on its way to one of them. Its own
-            link may be the narrow one, so that one more process reads the store. If
-            it is the common one, each more would make all answers later.
+        skipped: Number of processes skipped at present.
+        age: Seconds since the data of the next process was confirmed by the store.
+        receiving: Whether one of the skipped processes is receiving an answer of the
+            store. The link of this process may be the bottleneck, so one more process
+            may read the store. If the shared link is the bottleneck, every further
+            reader would delay all answers.
     """
     if receiving:
-        return not passed_over
-    return passed_over < PASSED_OVER + int(
-        min(age, LONGEST_AGE_SECONDS) / READER_EACH_SECONDS
-    )
+        return not skipped
+    return skipped < PASSED_OVER + int(min(age, MAX_AGE_SECONDS) / READER_EACH_SECONDS)
--- a/src/ridgecourse/core/site.py
+++ b/src/ridgecourse/core/site.py
@@ -45,7 +45,7 @@
     service: ServiceName
 
 
-ADOPTED = ("bounds", "seeds", "regions")
+RELOADABLE = ("bounds", "seeds", "regions")
 """Settings that are taken in while a process runs."""
 
 
@@ -93,10 +93,10 @@
             for name in self.__struct_fields__
             if getattr(self, name) != getattr(new, name)
         ]
-        adopted = [name for name in changed if name in ADOPTED]
+        adopted = [name for name in changed if name in RELOADABLE]
         for name in adopted:
             setattr(self, name, getattr(new, name))
-        return adopted, [name for name in changed if name not in ADOPTED]
+        return adopted, [name for name in changed if name not in RELOADABLE]
 
     def region(self, domain: DomainName) -> RegionName:
         """Return a domain's region; an unknown domain is its own."""
--- a/src/ridgecourse/core/supersession.py
+++ b/src/ridgecourse/core/supersession.py
@@ -1,35 +1,42 @@
-"""Whether to finish one version of weights when a newer one is named."""
+"""Decide whether to finish one version of weights when a newer one is named.
+
+Loaders ask these functions while they fetch a version, and again before their engine
+switches to a version that is completely available beside it.
+"""
 
 from msgspec import Struct
 
 from ridgecourse.core.ids import Seconds
 
 LATE_START_SECONDS = 0.4
-"""Before requests may no longer begin on an engine's weights, when the last engine
-takes new ones: what begins later would not be allowed to."""
+"""Lead, in seconds, of the domain's last engine switch before the bound. A request that
+starts on the old weights after the bound would not be allowed."""
 START_SECONDS = 0.5
-"""From the last chunk to the order: staging and checking."""
+"""Seconds from the last chunk of a version until the engine is ordered to load it;
+staging and verification take this long."""
 APART_SECONDS = 2.5
-"""Between the bounds of two versions from which on the early half finishes the
-first: less, and it would be late for both."""
-NEARLY_SECONDS = 0.7
-"""A transfer this close to its end is always finished."""
+"""Smallest gap, in seconds, between the bounds of two versions at which the engines of
+the early half still finish the first version. With a smaller gap, these engines would
+be late for both versions."""
+NEARLY_COMPLETE_SECONDS = 0.7
+"""A transfer with less than this many seconds left is always finished."""
 FINISH_BIAS_SECONDS = 0.5
-"""By how much longer the engine may be idle for a first version to be finished all
-the same: its chunks are there for the most part, and those of the newer one may be
-late, since their origin may fail."""
+"""Extra idle time of the engine, in seconds, that is accepted for finishing the first
+version. Most chunks of the first version are available already, while those of the
+newer version may be delayed if its origin fails."""
 
 AWAY_SECONDS = 1.0
-"""From leaving a whole version to being back at it: what lies staged is read before a
-newer version is drawn, and a look at what goes first comes within half a second."""
+"""Seconds from interrupting the wait with a complete version until the loader resumes
+it. The loader reads back the staged files before it fetches the newer version, and
+polls which version takes precedence within half a second."""
 
 
 class TransferPlan(Struct, frozen=True):
-    """A version that is being brought in.
+    """The remaining transfer of one version.
 
     Attributes:
-        ready_after: Seconds that it still takes.
-        bound: When requests may no longer begin on older versions.
+        ready_after: Seconds until the version is ready to be served.
+        bound: Time after which no request may start on an older version.
     """
 
     ready_after: float
@@ -37,33 +44,35 @@
 
 
 def should_finish(current: TransferPlan, newer: TransferPlan, now: Seconds) -> bool:
-    """Tell which order leaves the engine idle for a shorter time.
+    """Return whether finishing the current version minimizes the engine's idle time.
 
-    An engine is idle from a version's bound until it serves that version or a
-    newer one. The transfers share one link, so that the newer version comes
-    later if the current one is finished first.
+    An engine is idle from a version's bound until it serves that version or a newer
+    one. The transfers share one link, so the newer version is ready later if the
+    current one is finished first.
 
     Args:
         current: The version in transfer.
-        newer: The version named meanwhile, as if begun now.
-        now: The present time.
+        newer: The version that was named during the transfer, as if its transfer
+            started now.
+        now: The current time.
     """
     current_ready = now + current.ready_after
     newer_ready_after = current_ready + newer.ready_after
-    idle_finishing = max(0.0, current_ready - current.bound) + max(
+    idle_if_finished = max(0.0, current_ready - current.bound) + max(
         0.0, newer_ready_after - max(newer.bound, current_ready)
     )
-    idle_jumping = max(0.0, now + newer.ready_after - current.bound)
-    return idle_finishing <= idle_jumping + FINISH_BIAS_SECONDS
+    idle_if_switched = max(0.0, now + newer.ready_after - current.bound)
+    return idle_if_finished <= idle_if_switched + FINISH_BIAS_SECONDS
 
 
 def is_of_use(ready_after: float, bound: Seconds | None, now: Seconds) -> bool:
-    """Tell whether requests may still begin on a version once it is there.
+    """Check whether requests may still start on a version once it is available.
 
     Args:
-        ready_after: Seconds until an engine can serve it, at the least.
-        bound: When a newer version is required; None for not known, or none named.
-        now: The present time.
+        ready_after: Lower bound of the seconds until an engine can serve the version.
+        bound: When a newer version is required; None if no newer version is named or
+            its bound is unknown.
+        now: The current time.
     """
     return bound is None or now + ready_after + START_SECONDS < bound
 
@@ -71,18 +80,19 @@
 def goes_on(
     current: TransferPlan, newer: TransferPlan, now: Seconds, early: bool
 ) -> bool:
-    """Tell whether a transfer goes on though a newer version is named.
+    """Check whether a transfer continues although a newer version is named.
 
     Args:
         current: The version in transfer.
-        newer: The version named meanwhile, as if begun now.
-        now: The present time.
-        early: Whether the engine is of the half that takes new weights first; that
-            half serves the first version until the second is there.
+        newer: The version that was named during the transfer, as if its transfer
+            started now.
+        now: The current time.
+        early: Whether the engine belongs to the half that switches weights first; this
+            half serves the first version until the second one is available.
     """
     if not is_of_use(current.ready_after - START_SECONDS, newer.bound, now):
         return False
-    if current.ready_after < START_SECONDS + NEARLY_SECONDS:
+    if current.ready_after < START_SECONDS + NEARLY_COMPLETE_SECONDS:
         return True
     if newer.bound - current.bound < APART_SECONDS:
         return should_finish(current, newer, now)
@@ -96,14 +106,15 @@
     early: bool,
     newer_here: bool,
 ) -> bool:
-    """Tell whether a version that was begun is gone on with before a newer one.
+    """Check whether a version whose transfer has started precedes a newer one.
 
     Args:
-        current: The version that was begun.
-        newer: The newest one.
-        now: The present time.
+        current: The version whose transfer has started.
+        newer: The newest version.
+        now: The current time.
         early: As for ``goes_on``.
-        newer_here: Whether the newest one can be had by now; see ``counts_as_here``.
+        newer_available: Whether the newest version is available; see
+            ``counts_as_here``.
     """
     if newer_here:
         return goes_on(current, newer, now, early)
@@ -113,18 +124,21 @@
 def counts_as_here(
     current: TransferPlan, newer: TransferPlan, share: float | None
 ) -> bool:
-    """Tell whether a newer version can be had by now.
+    """Return whether a newer version counts as available.
 
-    Until all of it lies at the hub its origin may go away: all engines of a site gave
-    up a version that lay whole at their hubs, 2.3 s before it was there, for one of
-    which a quarter could be had for the next 6 s, and served neither in time. Where the
-    bounds lie far enough apart for both, half of the engines wait for each version as
-    it is; all of them waiting for the first had the second 1 to 2 s late everywhere.
+    The origin of the newer version may fail until the hub holds all of it. In one case
+    all engines of a site gave up a version that their hubs held completely, 2.3 s
+    before the engines would have had it. Of the newer version, a quarter was available
+    for the next 6 s, and the engines served neither version in time. If the gap between
+    the bounds is large enough for both versions, half of the engines wait for each
+    version, whatever part of it is available. When all engines waited for the first
+    version, the second one was 1 to 2 s late everywhere.
 
     Args:
-        current: The version that was begun.
-        newer: The newest one.
-        share: How much of the newest one lies at the hub; None for no part in it.
+        current: The version whose transfer has started.
+        newer: The newest version.
+        share: Fraction of the newest version that the hub holds; None if the hub does
+            not fetch it.
     """
     if share is None:
         return False
@@ -138,39 +152,42 @@
     whole_at: Seconds,
     place: float,
 ) -> float:
-    """Return the seconds until an engine takes a version that is whole beside it.
+    """Return the seconds until an engine switches to a completely staged version.
 
-    To change its weights takes an engine some 2 s, for which it ends its streams. A
-    version that may be served for no longer than that before the next one is required
-    is worth no change while what the engine has may still be served. 41 engines that
-    changed all the same served 0.80, 0.50 and 0.33 of the worth of 2 s each up to the
-    next bound, 0.97, 0.64 and 0.06 without (one play each).
+    Switching weights takes an engine about 2 s, and the engine ends its streams for it.
+    If the next version is required within this time, the switch is not worthwhile as
+    long as the current weights may still be served. In one run each, 41 engines that
+    switched anyway achieved 0.80, 0.50 and 0.33 of the possible goodput in the 2 s
+    periods before the next bound; without the switch they achieved 0.97, 0.64 and 0.06.
 
-    Else a domain's engines change one after the other, in the time from the version's
-    being whole until the bound, so that as few as possible are out at a time.
+    Otherwise the engines of a domain switch in staggered turns between the time at
+    which the version is complete and the bound, so that as few engines as possible are
+    out of service at once.
 
     Args:
-        bound: When requests may no longer begin on what it has; None for not known.
-        newer_bound: When they may no longer begin on the version; None if no newer one
-            is named.
-        now: The present time.
-        whole_at: Since when the version is whole beside the engine.
-        place: Its place among its domain's engines, from 0 for the first to 1 for the
-            last.
+        bound: When requests may no longer start on the engine's current weights; None
+            if unknown.
+        newer_bound: When requests may no longer start on the staged version; None if no
+            newer version is named.
+        now: The current time.
+        complete_at: When the version became complete beside the engine.
+        place: The engine's position among the engines of its domain, from 0 for the
+            first to 1 for the last.
     """
     if bound is None:
         return 0.0
     if newer_bound is not None and newer_bound - bound < APART_SECONDS:
         return max(0.0, bound - now)
-    last = bound - LATE_START_SECONDS
-    return max(0.0, whole_at + place * max(0.0, last - whole_at) - now)
+    last_switch = bound - LATE_START_SECONDS
+    return max(0.0, whole_at + place * max(0.0, last_switch - whole_at) - now)
 
 
 def leaves_time(wait: float) -> bool:
-    """Tell whether a newer version is drawn while a whole one waits for its turn.
+    """Check whether a newer version is fetched while a complete one awaits its turn.
 
-    A loader that left 0.02 s before the turn was back 0.83 s after it, when the version
-    was of use no more, and its engine served neither.
+    In one case a loader started the newer fetch 0.02 s before the turn and resumed the
+    complete version 0.83 s after it. By then that version was not usable any more, and
+    the engine served neither version.
 
     Args:
         wait: Seconds until the turn.
--- a/src/ridgecourse/core/weights.py
+++ b/src/ridgecourse/core/weights.py
@@ -1,4 +1,7 @@
-"""Versions of weights that operators name, and from when on each is required."""
+"""Record which versions of weights operators name, and when each becomes required.
+
+Gateways and loaders use this history to decide on which weights a request may start.
+"""
 
 from collections.abc import Iterable, Iterator
 from enum import Enum
@@ -7,8 +10,9 @@
 
 from ridgecourse.core.ids import ModelName, Seconds, WeightsVersion
 
-SAME_SECONDS = 0.05
-"""Two told times of a name that differ by less are the same: the way takes some ms."""
+SAME_TIME_SECONDS = 0.05
+"""Two reported naming times of a version that differ by less than this count as equal:
+a report takes a few milliseconds to arrive."""
 FIRST_VERSION = WeightsVersion(1)
 """The version in force before an operator names one."""
 
@@ -25,41 +29,42 @@
     version: WeightsVersion
 
 
-class Dating(Enum):
-    """How it is known when a version was named.
+class NamingTimeSource(Enum):
+    """How the naming time of a version is known.
 
-    UNKNOWN: Not at all.
-    TOLD: Another process told.
-    HEARD: The store was heard of shortly before, without the name.
+    UNKNOWN: The naming time is not known.
+    REPORTED: Another process reported it.
+    OBSERVED: A reply of the store shortly before did not contain the version yet.
     """
 
     UNKNOWN = "unknown"
-    TOLD = "told"
-    HEARD = "heard"
+    REPORTED = "told"
+    OBSERVED = "heard"
 
 
 class VersionNotice(Struct):
-    """A named version.
+    """A named version and its naming time.
 
     Attributes:
         version: The version.
-        named_at: When it was named at the earliest; if that is not known, so long ago
-            that its bound was over when this process learned of it.
-        dating: How it is known.
+        named_at: Earliest time at which the version may have been named. If this is
+            unknown, a time so early that the bound had passed when this process learned
+            of the version.
+        time_source: How ``named_at`` is known.
     """
 
     version: WeightsVersion
     named_at: Seconds
-    dating: Dating
+    time_source: NamingTimeSource
 
 
 class VersionAge(Struct, frozen=True):
-    """What one process tells others of a named version.
+    """The age of a named version, as one process reports it to others.
 
     Attributes:
         model: The model.
         version: Its version.
-        age: Seconds since it was named, at the most.
+        age: Upper bound of the seconds since the version was named.
     """
 
     model: ModelName
@@ -68,13 +73,13 @@
 
 
 class VersionHistory:
-    """The versions of one model that were named, in rising order.
+    """The named versions of one model, in ascending order.
 
-    Each named version has a bound of its own, after which no request may begin
-    on an older one. A newer name does not put that bound off.
+    Each named version has its own bound, after which no request may start on an older
+    version. A newer name does not postpone this bound.
 
     Attributes:
-        bound: Seconds from a version's name until it is required.
+        bound: Seconds from naming a version until it is required.
         notices: Named versions, the oldest first.
     """
 
@@ -85,71 +90,81 @@
     def name(
         self, version: WeightsVersion, now: Seconds, named_at: Seconds | None
     ) -> bool:
-        """Take in a named version; tell whether it is newer than all others.
+        """Record a named version.
 
         Args:
             version: The version.
-            now: The present time.
-            named_at: When it was named at the earliest; None if that is not known.
-                Then nothing may begin on older weights: its bound may be over.
+            now: The current time.
+            named_at: Earliest time at which the version may have been named; None if
+                unknown. In that case no request may start on older weights, since the
+                bound may have passed already.
+
+        Returns:
+            Whether the version is newer than all recorded ones.
         """
         if version <= self.newest:
             return False
         if named_at is None:
-            long_ago = Seconds(now - self.bound)
-            notice = VersionNotice(version, long_ago, Dating.UNKNOWN)
+            earliest = Seconds(now - self.bound)
+            notice = VersionNotice(version, earliest, NamingTimeSource.UNKNOWN)
         else:
-            notice = VersionNotice(version, named_at, Dating.HEARD)
+            notice = VersionNotice(version, named_at, NamingTimeSource.OBSERVED)
         self.notices.append(notice)
         return True
 
     def date(self, version: WeightsVersion, named_at: Seconds) -> bool:
-        """Take in when a version was named at the earliest, as another process knows.
+        """Record the earliest naming time of a version, as another process reports it.
 
-        Of what several tell the earliest counts. What this process heard itself holds
-        also if it was frozen or cut off meanwhile, and is closer than what is told by
-        one that seldom asks. A version between those known is taken in: who starts
-        reads only the newest name, and the bounds of earlier ones hold on.
+        The earliest of several reported times counts. A time that this process observed
+        itself is kept: it remains valid after a freeze or a network partition, and it
+        is more accurate than the report of a process that polls rarely. An unknown
+        version between known ones is added, because a process that starts reads only
+        the newest name, while the bounds of earlier versions still apply.
 
         Returns:
-            Whether that changes what was known.
+            Whether the history changed.
         """
         for notice in self.notices:
-            if notice.version == version and is_closer(notice, named_at):
-                notice.named_at, notice.dating = named_at, Dating.TOLD
+            if notice.version == version and is_better_time(notice, named_at):
+                notice.named_at, notice.time_source = (
+                    named_at,
+                    NamingTimeSource.REPORTED,
+                )
                 return True
-        if version < self.newest and version not in self._versions():
-            self.notices.append(VersionNotice(version, named_at, Dating.TOLD))
+        if version < self.newest and version not in self._known_versions():
+            self.notices.append(
+                VersionNotice(version, named_at, NamingTimeSource.REPORTED)
+            )
             self.notices.sort(key=lambda notice: notice.version)
             return True
         return False
 
-    def _versions(self) -> set[WeightsVersion]:
+    def _known_versions(self) -> set[WeightsVersion]:
         return {FIRST_VERSION, *(notice.version for notice in self.notices)}
 
     def is_recent(self, now: Seconds) -> bool:
-        """Tell whether the newest version was named within the bound, as is known."""
-        if not self.notices or self.notices[-1].dating is Dating.UNKNOWN:
+        """Check whether the newest version is known to be younger than the bound."""
+        if not self.notices or self.notices[-1].time_source is NamingTimeSource.UNKNOWN:
             return False
         return now - self.notices[-1].named_at < self.bound
 
-    def was_named_before(self, version: WeightsVersion, then: Seconds) -> bool:
-        """Tell whether a version was named before a time, or it is not known when."""
+    def was_named_before(self, version: WeightsVersion, time: Seconds) -> bool:
+        """Return whether a version was named before a time; True if that is unknown."""
         return not any(
             notice.version == version
-            and notice.dating is not Dating.UNKNOWN
-            and notice.named_at > then
+            and notice.time_source is not NamingTimeSource.UNKNOWN
+            and notice.named_at > time
             for notice in self.notices
         )
 
     def count_newer(self, version: WeightsVersion) -> int:
-        """Return how many newer versions are named, as far as is known."""
+        """Return the number of newer versions that are known to be named."""
         return sum(notice.version > version for notice in self.notices)
 
     def ages(self, model: ModelName, now: Seconds) -> Iterator[VersionAge]:
-        """Yield the versions of which it is known when they were named."""
+        """Yield the ages of the versions whose naming time is known."""
         for notice in self.notices:
-            if notice.dating is not Dating.UNKNOWN:
+            if notice.time_source is not NamingTimeSource.UNKNOWN:
                 yield VersionAge(model, notice.version, now - notice.named_at)
 
     @property
@@ -158,26 +173,41 @@
         return self.notices[-1].version if self.notices else FIRST_VERSION
 
     def required(self, now: Seconds) -> WeightsVersion:
-        """Return the oldest version on which a request may begin now."""
-        past = [n.version for n in self.notices if n.named_at + self.bound <= now]
-        return max(past, default=FIRST_VERSION)
+        """Return the oldest version on which a request may start now."""
+        due = [
+            notice.version
+            for notice in self.notices
+            if notice.named_at + self.bound <= now
+        ]
+        return max(due, default=FIRST_VERSION)
 
     def begin_by(self, version: WeightsVersion) -> Seconds | None:
-        """Return until when requests may begin on a version; None for any time."""
-        return self._earliest_bound(n for n in self.notices if n.version > version)
+        """Return until when requests may start on a version; None for no limit."""
+        return self._earliest_bound(
+            notice for notice in self.notices if notice.version > version
+        )
 
     def dated_bound(self, version: WeightsVersion) -> Seconds | None:
-        """Return the same as far as names are dated; None also where none is."""
-        dated = (n for n in self.notices if n.dating is not Dating.UNKNOWN)
-        return self._earliest_bound(n for n in dated if n.version > version)
+        """Return the start deadline from newer versions with a known naming time only.
+
+        None if there is no such version.
+        """
+        timed_notices = (
+            notice
+            for notice in self.notices
+            if notice.time_source is not NamingTimeSource.UNKNOWN
+        )
+        return self._earliest_bound(
+            notice for notice in timed_notices if notice.version > version
+        )
 
     def _earliest_bound(self, notices: Iterable[VersionNotice]) -> Seconds | None:
         bounds = [notice.named_at + self.bound for notice in notices]
         return Seconds(min(bounds)) if bounds else None
 
 
-def is_closer(notice: VersionNotice, told: Seconds) -> bool:
-    """Tell whether a told time of a name is to replace what is known of it."""
-    if notice.dating is Dating.TOLD:
-        return told < notice.named_at - SAME_SECONDS
-    return notice.dating is Dating.UNKNOWN
+def is_better_time(notice: VersionNotice, reported_at: Seconds) -> bool:
+    """Return whether a reported naming time is to replace the recorded one."""
+    if notice.time_source is NamingTimeSource.REPORTED:
+        return reported_at < notice.named_at - SAME_TIME_SECONDS
+    return notice.time_source is NamingTimeSource.UNKNOWN
