--- a/src/ridgecourse/core/__init__.py
+++ b/src/ridgecourse/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions without input or output: state plus event plus time gives actions."""
+"""Decision logic without input or output: state, event and time yield actions."""
--- a/src/ridgecourse/core/change.py
+++ b/src/ridgecourse/core/change.py
@@ -1,4 +1,4 @@
-"""Changes of configuration, as operators make them and the log keeps them."""
+"""Configuration changes, as operators submit them and the log stores them."""
 
 from enum import Enum
 
@@ -18,17 +18,17 @@
 
 
 class ServiceKind(Enum):
-    """What stands behind a service's targets."""
+    """The kind of targets behind a service."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class Change(Struct, frozen=True, tag_field="type", forbid_unknown_fields=True):
-    """Base of all changes.
+    """Base class of all changes.
 
     Attributes:
-        fleet: The fleet that is changed.
+        fleet: The fleet that the change applies to.
     """
 
     fleet: FleetName
@@ -48,7 +48,7 @@
 
 
 class PublishVersion(Change, frozen=True, tag="publish_version"):
-    """Make a version of a model known; its content never changes after."""
+    """Register a version of a model; its content never changes afterwards."""
 
     model: ModelName
     version: VersionName
@@ -72,13 +72,13 @@
 
 
 class Abort(Change, frozen=True, tag="abort"):
-    """Stop a rollout where it is: no further target takes the version up."""
+    """Stop a rollout in its current state: no further target switches versions."""
 
     service: ServiceName
 
 
 class JoinTarget(Change, frozen=True, tag="join_target"):
-    """Add a target to a service, or bring a leaving one back."""
+    """Add a target to a service, or cancel the departure of a leaving target."""
 
     service: ServiceName
     target: TargetName
@@ -88,7 +88,7 @@
 
 
 class LeaveTarget(Change, frozen=True, tag="leave_target"):
-    """Take a target out of service: it gets no new work."""
+    """Take a target out of service: it receives no new requests."""
 
     target: TargetName
 
@@ -125,19 +125,19 @@
 
 
 class LogRecord(Struct, frozen=True, tag_field="record", forbid_unknown_fields=True):
-    """Base of what stands in the configuration's stream of the log."""
+    """Base class of the records in the configuration stream of the log."""
 
 
 class ChangeRecord(LogRecord, frozen=True, tag="change"):
-    """A change as it stands in the log.
+    """A change as stored in the log.
 
     Attributes:
-        change_id: Chosen by the operator or entry; a second record with the
-            same id is ignored.
-        author: Operator who made it.
-        change: What is changed.
-        expected_revision: Revision the object must have; 0 means that it must
-            not exist, None means any.
+        change_id: Chosen by the operator or entry; a second record with the same id is
+            ignored.
+        author: The operator who submitted the change.
+        change: The change itself.
+        expected_revision: Revision that the object must have; 0 means that the object
+            must not exist, None means any revision.
     """
 
     change_id: ChangeId
@@ -147,11 +147,11 @@
 
 
 class CheckpointNotice(LogRecord, frozen=True, tag="checkpoint"):
-    """Tells all readers that a checkpoint was written.
+    """Announces to all readers of the log that a checkpoint was written.
 
     Attributes:
-        covered: The checkpoint holds all offsets below this one.
-        place: Its offset in the stream of checkpoints.
+        covered: The checkpoint includes all offsets below this one.
+        place: Offset of the checkpoint in the checkpoint stream.
     """
 
     covered: int
@@ -162,7 +162,7 @@
 
 
 class ChangeStatus(Enum):
-    """What is known of a change."""
+    """The known status of a change."""
 
     ACCEPTED = "accepted"
     REJECTED = "rejected"
@@ -170,13 +170,13 @@
 
 
 class ChangeOutcome(Struct, frozen=True, forbid_unknown_fields=True):
-    """What the fold made of a change.
+    """The outcome of folding a change.
 
     Attributes:
-        status: Accepted or rejected.
-        offset: Offset of the deciding record.
-        revision: Revision of the object after it.
-        reason: Why it was rejected.
+        status: Whether the change was accepted or rejected.
+        offset: Offset of the record that determined the outcome.
+        revision: Revision of the object after the change.
+        reason: Why the change was rejected.
     """
 
     status: ChangeStatus
--- a/src/ridgecourse/core/config.py
+++ b/src/ridgecourse/core/config.py
@@ -1,7 +1,7 @@
-"""The configuration: a fold of the log's change records.
+"""The configuration state, computed by folding the change records of the log.
 
-Every process that has folded the same offset holds the same state; its digest
-shows it.
+All processes that have folded the log up to the same offset hold the same state, which
+they can verify by comparing its digest.
 """
 
 from collections.abc import Callable, Iterator
@@ -50,7 +50,8 @@
 MAX_ORIGIN_COPIES = 4
 MAX_PRIORITY = 9
 MAX_OUTCOMES = 4096
-"""Change ids remembered; an older one sent again counts as new."""
+"""Number of change ids whose outcome is remembered. An older change id that is sent
+again counts as new."""
 
 
 Decision = Result[AnyObject, str]
@@ -61,7 +62,7 @@
     """The folded configuration.
 
     Attributes:
-        offset: The next offset to fold; all below it are contained.
+        offset: The next offset to fold; all records below it are included in the state.
     """
 
     def __init__(self) -> None:
@@ -72,9 +73,9 @@
         self.targets: dict[tuple[str, str], Target] = {}
         self.accounts: dict[tuple[str, str], Account] = {}
         self.outcomes: dict[ChangeId, ChangeOutcome] = {}
-        # Found by each request, so not searched for.
-        self.by_service: dict[tuple[str, str], dict[TargetName, Target]] = {}
-        self.by_key: dict[tuple[str, str], AccountName] = {}
+        # Indexes for the lookups that every request makes.
+        self.targets_by_service: dict[tuple[str, str], dict[TargetName, Target]] = {}
+        self.accounts_by_key: dict[tuple[str, str], AccountName] = {}
         self.handlers: dict[type, Callable[[Any], Decision]] = {
             CreateFleet: self._create_fleet,
             PutService: self._put_service,
@@ -94,19 +95,20 @@
         """Fold the record at an offset.
 
         Args:
-            offset: Must be the state's own offset.
-            record: The change or notice, or None for a record that no reader
-                can decode.
+            offset: Offset of the record; must equal the offset of the state.
+            record: The change or notice; None for a record that cannot be decoded.
 
         Returns:
-            The outcome of a change; for a change id seen before, its first
-            outcome. None for any other record.
+            The outcome of a change; for a repeated change id, the first outcome. None
+            for any other record.
 
         Raises:
             ValueError: The offset is not the next one.
         """
         if offset != self.offset:
-            raise ValueError(f"cannot fold offset {offset} at {self.offset}")
+            raise ValueError(
+                f"cannot fold offset {offset}, expected offset {self.offset}"
+            )
         self.offset = Offset(offset + 1)
         if not isinstance(record, ChangeRecord):
             return None
@@ -138,7 +140,7 @@
             del self.outcomes[next(iter(self.outcomes))]
 
     def _current_object(self, record: ChangeRecord) -> AnyObject | None:
-        """Return the object that a change is about, as it is now."""
+        """Return the current object that a change applies to."""
         change = record.change
         if isinstance(change, CreateFleet):
             return self.fleets.get(change.fleet)
@@ -159,13 +161,13 @@
             self.versions[changed.fleet, changed.model, changed.version] = changed
         elif isinstance(changed, Target):
             self.targets[changed.fleet, changed.target] = changed
-            targets_of_service = self.by_service.setdefault(
+            targets_of_service = self.targets_by_service.setdefault(
                 (changed.fleet, changed.service), {}
             )
             targets_of_service[changed.target] = changed
         else:
             self.accounts[changed.fleet, changed.account] = changed
-            self.by_key[changed.fleet, changed.key_digest] = changed.account
+            self.accounts_by_key[changed.fleet, changed.key_digest] = changed.account
 
     def _create_fleet(self, change: CreateFleet) -> Decision:
         if not 1 <= change.origin_copies <= MAX_ORIGIN_COPIES:
@@ -280,18 +282,18 @@
         self, fleet: FleetName, service: ServiceName
     ) -> Iterator[Target]:
         """Yield the targets of a service, leaving ones included."""
-        yield from self.by_service.get((fleet, service), {}).values()
+        yield from self.targets_by_service.get((fleet, service), {}).values()
 
     def find_account(self, fleet: FleetName, key_digest: str) -> Account | None:
         """Return the account that a key belongs to."""
-        name = self.by_key.get((fleet, key_digest))
+        name = self.accounts_by_key.get((fleet, key_digest))
         account = None if name is None else self.accounts[fleet, name]
-        # A key that the account no longer has is none.
+        # A former key of the account is invalid.
         has_key = account is not None and account.key_digest == key_digest
         return account if has_key else None
 
     def snapshot(self) -> ConfigSnapshot:
-        """Return the whole state in a fixed order."""
+        """Return the whole state in a deterministic order."""
         return ConfigSnapshot(
             self.offset,
             _sorted_values(self.fleets),
@@ -303,10 +305,10 @@
         )
 
     def restore(self, snapshot: ConfigSnapshot) -> bool:
-        """Take over a snapshot if it is ahead.
+        """Replace the state by a snapshot if the snapshot has a higher offset.
 
         Returns:
-            Whether it was taken over; a state never goes back.
+            Whether the state was replaced; the offset of a state never decreases.
         """
         if snapshot.offset <= self.offset:
             return False
@@ -315,15 +317,15 @@
             objects.clear()
         self.targets.clear()
         self.accounts.clear()
-        self.by_service.clear()
-        self.by_key.clear()
+        self.targets_by_service.clear()
+        self.accounts_by_key.clear()
         for found in _snapshot_objects(snapshot):
             self._store_object(found)
         self.outcomes = dict(snapshot.outcomes)
         return True
 
     def digest(self) -> str:
-        """Return a digest that is equal where the states are equal."""
+        """Return a digest that is equal for equal states."""
         return blake3(encode(self.snapshot(), order="sorted")).hexdigest()
 
 
--- a/src/ridgecourse/core/config_objects.py
+++ b/src/ridgecourse/core/config_objects.py
@@ -1,4 +1,4 @@
-"""What the configuration is made of, and a snapshot of it all."""
+"""The objects of the configuration, and a snapshot of all of them."""
 
 from msgspec import Struct
 
@@ -37,12 +37,13 @@
 
 
 class Service(Struct, frozen=True):
-    """A service and the version it is to serve.
+    """A service and the version that it is to serve.
 
     Attributes:
         placed: The version to serve.
-        previous: The version placed before, for a roll back.
-        halted: Whether targets that have not yet taken it up stay as they are.
+        previous: The version placed before, used by a rollback.
+        halted: Whether the rollout is stopped, so that targets without the placed
+            version keep their current version.
     """
 
     fleet: FleetName
@@ -81,7 +82,7 @@
 
 
 class ConfigSnapshot(Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole state at an offset, for checkpoints and late joiners."""
+    """The whole state at an offset, for checkpoints and processes that join late."""
 
     offset: int
     fleets: list[Fleet]
--- a/src/ridgecourse/core/finding.py
+++ b/src/ridgecourse/core/finding.py
@@ -1,15 +1,15 @@
-"""Findings: what is wrong with an input, and where."""
+"""Problems: errors in an input and their locations."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
 
 class Finding(NamedTuple):
-    """One thing wrong at one place.
+    """An error at one location of an input.
 
     Attributes:
-        place: Where, as specific as the input allows (file:line, key, index).
-        message: What was found and what was expected.
+        place: Location, as specific as the input allows (file:line, key, index).
+        message: The value found and the value expected.
     """
 
     place: str
@@ -23,5 +23,5 @@
 
 
 def render_findings(findings: Iterable[Finding]) -> str:
-    """Return the findings as text, one a line."""
+    """Return the problems as text, one per line."""
     return "\n".join(str(finding) for finding in findings)
--- a/src/ridgecourse/core/hubs.py
+++ b/src/ridgecourse/core/hubs.py
@@ -122,9 +122,9 @@
 
     Attributes:
         hubs: The hub of each domain.
-        near: Other gateways of the local domain that may hold the version.
-        holds: Whether the local gateway is a hub or standby hub that fetches the
-            version.
+        local_gateways: Other gateways of the local domain that may hold the version.
+        fetches_version: Whether the local gateway is a hub or standby hub that fetches
+            the version.
     """
 
     hubs: Sequence[Peer]
@@ -148,6 +148,8 @@
     """
     ranked = rank_gateways(key, [*gateways, local])
     local_ranking = ranked[local.domain]
-    near = [peer for peer in local_ranking[:SOURCES_PER_DOMAIN] if peer != local]
+    local_gateways = [
+        peer for peer in local_ranking[:SOURCES_PER_DOMAIN] if peer != local
+    ]
     hubs = [domain[0] for domain in ranked.values()]
-    return HubPlan(hubs, near, local in local_ranking[:HUBS_PER_DOMAIN])
+    return HubPlan(hubs, local_gateways, local in local_ranking[:HUBS_PER_DOMAIN])
--- a/src/ridgecourse/core/ids.py
+++ b/src/ridgecourse/core/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers."""
+"""Types of identifiers."""
 
 from typing import NewType
 
@@ -15,23 +15,25 @@
 ChangeId = NewType("ChangeId", str)
 RequestId = NewType("RequestId", str)
 RequestSignature = NewType("RequestSignature", bytes)
-"""Digest of what a request asks, the same for each time that it comes again."""
+"""Digest of a request's content; equal for every repetition of the request."""
 TargetId = NewType("TargetId", str)
-"""Names a target, as the platform lists it; see ``EngineLife`` for its lives."""
+"""Name of a target as the platform lists it; see ``EngineLife`` for its
+incarnations."""
 EngineStart = NewType("EngineStart", int)
-"""When an engine started, in Unix milliseconds by its own clock: orders its lives."""
+"""Start time of an engine in Unix milliseconds on its own clock; orders the engine's
+incarnations."""
 IdempotencyKey = NewType("IdempotencyKey", str)
 Incarnation = NewType("Incarnation", str)
-"""Names one life of a process; a restart gives a new one."""
+"""Name of one incarnation of a process; each restart creates a new one."""
 
 ChunkDigest = NewType("ChunkDigest", str)
-"""BLAKE3 of a chunk's bytes, in hexadecimal."""
+"""BLAKE3 digest of a chunk's bytes, in hexadecimal."""
 RootDigest = NewType("RootDigest", str)
-"""BLAKE3 of a version's manifest, in hexadecimal."""
+"""BLAKE3 digest of a version's manifest, in hexadecimal."""
 
 WeightsVersion = NewType("WeightsVersion", int)
-"""Version of a model's weights; 0 where there are none."""
+"""Version of a model's weights; 0 if there are no weights."""
 Offset = NewType("Offset", int)
-"""Position of a record in a stream of the platform's log, from 0."""
+"""Position of a record in a stream of the platform's log, starting at 0."""
 Seconds = NewType("Seconds", float)
-"""A reading of, or a span on, the clock of ``net.clock``."""
+"""A point in time, or a duration, on the clock of ``net.clock``."""
--- a/src/ridgecourse/core/lease.py
+++ b/src/ridgecourse/core/lease.py
@@ -1,9 +1,10 @@
 """Leases on a target's engine, with fencing tokens from the log.
 
-An agent appends a lease record for its target before it orders the engine. The
-record's offset is the fencing token: the engine refuses an order with a lower
-one. For an engine that ignores tokens the holder checks its lease on its own clock
-right before each order, and a new holder waits until the lease before it has run out.
+An agent appends a lease record for its target before it sends orders to the engine. The
+offset of the record is the fencing token: the engine rejects an order with a lower
+token. For an engine that ignores tokens, the lease holder checks its lease against its
+own clock immediately before each order, and a new holder waits until the previous lease
+has expired.
 """
 
 from msgspec import Struct
@@ -17,17 +18,17 @@
 )
 
 CLOCK_RATE_MARGIN = 1.05
-"""Two clocks may differ in rate by less than this factor."""
+"""Upper bound of the ratio between the rates of two clocks."""
 
 
 class LeaseRecord(Struct, frozen=True, forbid_unknown_fields=True):
-    """A lease as it stands in the log.
+    """A lease as stored in the log.
 
     Attributes:
         fleet: Fleet of the target.
         target: Target whose engine is leased.
-        holder: The agent's life that holds it.
-        seconds: Length, from before the append was sent.
+        holder: Incarnation of the agent that holds the lease.
+        seconds: Duration of the lease, counted from before the append was sent.
     """
 
     fleet: FleetName
@@ -37,12 +38,12 @@
 
 
 class Lease:
-    """One agent's view of the lease on its engine.
+    """The state of the lease on an engine, as its agent sees it.
 
     Attributes:
-        token: The fencing token held, None before the first lease.
-        expires: When the lease ends on this process's clock.
-        usable_from: When the first order may be given.
+        token: Fencing token of the lease; None before the first lease.
+        expires: When the lease expires on the clock of this process.
+        usable_from: When the first order may be sent.
     """
 
     def __init__(
@@ -60,7 +61,7 @@
         self.other_seen_at = Seconds(0.0)
 
     def observe(self, offset: Offset, record: LeaseRecord, now: Seconds) -> None:
-        """Take note of a lease record read from the log."""
+        """Record a lease of another holder that was read from the log."""
         if (record.fleet, record.target) != (self.fleet, self.target):
             return
         if record.holder == self.holder:
@@ -72,22 +73,23 @@
     def granted(
         self, token: Offset, sent_at: Seconds, seconds: float, now: Seconds
     ) -> None:
-        """Take a lease whose record was read back.
+        """Record the grant of a lease whose record was read back from the log.
 
         Args:
-            token: Offset of the own record.
-            sent: When the append was first sent; the lease counts from there.
-            seconds: Its length.
-            now: The present time.
+            token: Offset of the lease record.
+            sent_at: When the append was first sent; the lease is counted from this
+                time.
+            seconds: Duration of the lease.
+            now: The current time.
         """
         self.token = token
         self.expires = Seconds(sent_at + seconds)
         self.usable_from = self._previous_lease_end(now)
 
     def _previous_lease_end(self, now: Seconds) -> Seconds:
-        """Return when the holder before can no longer give orders.
+        """Return when the previous holder can no longer send orders.
 
-        An engine that refuses old tokens needs no wait.
+        An engine that rejects old tokens requires no waiting.
         """
         if self.fenced or self.other_lease is None:
             return now
@@ -95,7 +97,7 @@
         return Seconds(max(now, self.other_seen_at + max_remaining))
 
     def may_order(self, now: Seconds) -> bool:
-        """Tell whether an order may be given right now."""
+        """Check whether an order may be sent to the engine now."""
         if self.token is None or self.other_offset > self.token:
             return False
         return self.usable_from <= now < self.expires
--- a/src/ridgecourse/core/links.py
+++ b/src/ridgecourse/core/links.py
@@ -1,15 +1,15 @@
-"""Over which kind of link bytes come, for figures."""
+"""Name the counters of received bytes by payload and by kind of link."""
 
 from enum import Enum
 
 
 class Link(Enum):
-    """What lies between a process and where bytes come from.
+    """The link between a process and the sender of received bytes.
 
-    DOMAIN: Nothing: the own failure domain.
-    REGION: Another domain of the own region.
+    DOMAIN: The sender is in the local failure domain.
+    REGION: The sender is in another domain of the local region.
     ABROAD: The link between two regions, which all traffic shares.
-    ORIGIN: The way to the origin of weights, wherever it stands.
+    ORIGIN: The path to the origin of weights, in any location.
     """
 
     DOMAIN = "domain"
@@ -19,7 +19,7 @@
 
 
 class Cargo(Enum):
-    """What is carried."""
+    """The kind of content that the bytes belong to."""
 
     WEIGHTS = "weights"
     MANIFEST = "manifest"
--- a/src/ridgecourse/core/manifest.py
+++ b/src/ridgecourse/core/manifest.py
@@ -1,4 +1,4 @@
-"""Manifests: the files and chunks that make up one version of a model."""
+"""Manifests: the files and chunks of one version of a model."""
 
 from collections.abc import Iterator
 from pathlib import PurePosixPath
@@ -23,8 +23,8 @@
     Attributes:
         path: Relative path with forward slashes.
         size: Length in bytes.
-        chunks: Digests of its chunks in order; all but the last are of the
-            manifest's chunk size.
+        chunks: Digests of the chunks in order. All chunks but the last have the chunk
+            size of the manifest.
     """
 
     path: str
@@ -33,12 +33,12 @@
 
 
 class ChunkPlace(NamedTuple):
-    """Where the bytes of a chunk first stand in a version.
+    """The location of a chunk in a version.
 
     Attributes:
-        digest: The chunk.
-        path: The file it stands in.
-        start: First byte within that file.
+        digest: Digest of the chunk.
+        path: Path of the file that contains the chunk.
+        start: Offset of the chunk's first byte in the file.
         length: Length in bytes.
     """
 
@@ -52,7 +52,7 @@
     """The content of a version.
 
     Attributes:
-        chunk_size: Length in bytes of every chunk but a file's last.
+        chunk_size: Length in bytes of every chunk but the last one of a file.
         files: The files, sorted by path.
     """
 
@@ -72,15 +72,15 @@
                 yield ChunkPlace(digest, entry.path, start, length)
 
     def unique_chunks(self) -> tuple[ChunkPlace, ...]:
-        """Return each distinct chunk once, in order of its first place."""
-        first: dict[ChunkDigest, ChunkPlace] = {}
-        for place in self.chunk_places():
-            first.setdefault(place.digest, place)
-        return tuple(first.values())
+        """Return each distinct chunk once, in the order of first occurrence."""
+        locations: dict[ChunkDigest, ChunkPlace] = {}
+        for location in self.chunk_places():
+            locations.setdefault(location.digest, location)
+        return tuple(locations.values())
 
 
 def encode_manifest(manifest: Manifest) -> bytes:
-    """Return the bytes of which the root digest is taken."""
+    """Return the bytes from which the root digest is computed."""
     return encode(manifest)
 
 
@@ -90,21 +90,21 @@
 
 
 def root_digest(manifest_bytes: bytes) -> RootDigest:
-    """Return the digest that names a version's content."""
+    """Return the digest that identifies a version's content."""
     return RootDigest(blake3(manifest_bytes).hexdigest())
 
 
 def parse_manifest(
     data: bytes, expected: RootDigest | None = None
 ) -> Result[Manifest, Findings]:
-    """Decode and check a manifest.
+    """Decode and validate a manifest.
 
     Args:
         data: The bytes as published.
-        expected: The digest they must have, when known.
+        expected: The expected digest of ``data``, if known.
 
     Returns:
-        The manifest, or all that is wrong with it.
+        The manifest, or all problems found.
     """
     if expected is not None and root_digest(data) != expected:
         message = f"has digest {root_digest(data)}, expected {expected}"
@@ -120,7 +120,7 @@
 
 
 def find_faults(manifest: Manifest) -> Iterator[Finding]:
-    """Yield what is wrong with a decoded manifest."""
+    """Yield the problems of a decoded manifest."""
     if not MIN_CHUNK_BYTES <= manifest.chunk_size <= MAX_CHUNK_BYTES:
         bounds = f"{MIN_CHUNK_BYTES} to {MAX_CHUNK_BYTES}"
         yield Finding("chunk_size", f"is {manifest.chunk_size}, expected {bounds}")
@@ -133,28 +133,30 @@
     lengths: dict[ChunkDigest, int] = {}
     for index, entry in enumerate(manifest.files):
         yield from _find_file_problems(f"files[{index}]", entry, manifest.chunk_size)
-    for place in manifest.chunk_places():
-        if lengths.setdefault(place.digest, place.length) != place.length:
-            yield Finding(place.path, f"chunk {place.digest} has two lengths")
+    for location in manifest.chunk_places():
+        if lengths.setdefault(location.digest, location.length) != location.length:
+            yield Finding(
+                location.path, f"chunk {location.digest} occurs with two lengths"
+            )
 
 
 def _find_file_problems(
-    place: str, entry: FileEntry, chunk_size: int
+    location: str, entry: FileEntry, chunk_size: int
 ) -> Iterator[Finding]:
     path = PurePosixPath(entry.path)
     if path.is_absolute() or ".." in path.parts or not path.parts:
-        yield Finding(place, f"path {entry.path!r} must be relative, without '..'")
+        yield Finding(location, f"path {entry.path!r} must be relative, without '..'")
     if entry.size < 0:
-        yield Finding(place, f"size is {entry.size}, expected 0 or more")
+        yield Finding(location, f"size is {entry.size}, expected 0 or more")
     expected = -(-entry.size // chunk_size)
     if len(entry.chunks) != expected:
         message = f"{entry.path} has {len(entry.chunks)} chunks, expected {expected}"
-        yield Finding(place, message)
+        yield Finding(location, message)
     for digest in entry.chunks:
         if not is_digest(digest):
-            yield Finding(place, f"{digest!r} is no BLAKE3 digest in hexadecimal")
+            yield Finding(location, f"{digest!r} is not a BLAKE3 digest in hexadecimal")
 
 
 def is_digest(text: str) -> bool:
-    """Tell whether a text has the form of a BLAKE3 digest in hexadecimal."""
+    """Check whether a text has the form of a BLAKE3 digest in hexadecimal."""
     return len(text) == DIGEST_HEX_LENGTH and set(text) <= set("0123456789abcdef")
--- a/src/ridgecourse/core/rendezvous.py
+++ b/src/ridgecourse/core/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every process ranks the same members the same way."""
+"""Rendezvous hashing: every process ranks the same members in the same order."""
 
 from collections.abc import Iterable, Sequence
 
@@ -6,20 +6,20 @@
 
 
 def rendezvous_score(key: str, member: str) -> int:
-    """Return the weight of a member for a key; the highest goes first."""
+    """Return the weight of a member for a key; the highest weight ranks first."""
     return xxh3_64_intdigest(f"{key}\x00{member}".encode())
 
 
 def rendezvous_rank(key: str, members: Iterable[str]) -> Sequence[str]:
-    """Return the members in their order for a key.
+    """Return the members ranked for a key.
 
     Args:
-        key: What is to be placed.
-        members: The candidates; their order does not matter.
+        key: The key to place.
+        members: The candidates, in any order.
 
     Returns:
-        All members, the preferred one first. Removing a member moves only
-        what it was first for.
+        All members, the preferred one first. Removing a member reassigns only the keys
+        for which that member ranked first.
     """
     return sorted(
         members,
--- a/src/ridgecourse/core/site.py
+++ b/src/ridgecourse/core/site.py
@@ -1,4 +1,4 @@
-"""What a process is told about itself and its surroundings when it starts."""
+"""Settings that a process receives at its start about itself and its platform."""
 
 from collections.abc import Mapping
 
@@ -11,16 +11,16 @@
     """Limits that the operators of a deployment set for the system.
 
     Attributes:
-        stop_seconds: Between SIGTERM and SIGKILL.
-        leaving_seconds: How long a leaving target may still get requests.
-        config_seconds: How long a configuration may take to be in force.
-        version_seconds: After which no request may begin on older weights.
-        reuse_seconds: After which the address of a target that ended may
-            belong to another one.
-        retry_ratio: Repeated sends allowed for each request of a service,
-            summed over all entries.
-        retry_seconds: Span over which that ratio is judged.
-        retry_slack: Repeated sends allowed beyond the ratio in such a span.
+        stop_seconds: Seconds between SIGTERM and SIGKILL.
+        leaving_seconds: Seconds for which a leaving target may still receive requests.
+        config_seconds: Maximum seconds until a configuration is in force.
+        version_seconds: Seconds from naming a version until no request may start on
+            older weights.
+        reuse_seconds: Seconds after the end of a target from which its address may
+            belong to another target.
+        retry_ratio: Retries allowed per request of a service, summed over all entries.
+        retry_seconds: Length of the window over which the ratio is computed.
+        retry_slack: Retries allowed in such a window in addition to the ratio.
     """
 
     stop_seconds: float
@@ -37,8 +37,8 @@
     """The model engine on an agent's own instance.
 
     Attributes:
-        address: HOST:PORT.
-        service: The service that it belongs to.
+        address: HOST:PORT of the engine.
+        service: The service that the engine belongs to.
     """
 
     address: str
@@ -46,7 +46,7 @@
 
 
 RELOADABLE = ("bounds", "seeds", "regions")
-"""Settings that are taken in while a process runs."""
+"""Names of the settings that may change while a process runs."""
 
 
 class Site(Struct):
@@ -54,16 +54,17 @@
 
     Attributes:
         process: Name of the process.
-        host: IP number of its instance.
-        domain: Failure domain it runs in.
+        host: IP address of the process's instance.
+        domain: Failure domain of the process.
         regions: The region of each failure domain.
-        callers: HOST:PORT for callers; None where it serves none.
-        readiness: HOST:PORT for the balancer's questions; None likewise.
-        peer_ports: Ports kept free for the system's own connections.
+        callers: HOST:PORT for clients; None if the process serves no clients.
+        readiness: HOST:PORT for the load balancer's readiness checks; None if the
+            process serves no clients.
+        peer_ports: Ports reserved for the system's own connections.
         seeds: Addresses of some other instances, which may be down.
         store: HOST:PORT of the platform's store.
-        target: The engine on the instance; None on an entry's.
-        bounds: The operators' limits.
+        target: The engine on the instance; None on an entry's instance.
+        bounds: Limits set by the operators.
         upload_bytes_per_s: Capacity of the instance's link.
         first_start: Whether the whole system starts for the first time.
     """
@@ -83,10 +84,11 @@
     first_start: bool = False
 
     def adopt(self, new: "Site") -> tuple[list[str], list[str]]:
-        """Take in what may change while the process runs.
+        """Apply the settings that may change while the process runs.
 
         Returns:
-            The names of what changed: taken in, and left to the next start.
+            The names of the changed settings: those applied, and those that take effect
+            at the next start.
         """
         changed = [
             name
@@ -99,5 +101,5 @@
         return adopted, [name for name in changed if name not in RELOADABLE]
 
     def region(self, domain: DomainName) -> RegionName:
-        """Return a domain's region; an unknown domain is its own."""
+        """Return a domain's region; an unknown domain forms its own region."""
         return self.regions.get(domain, RegionName(domain))
