--- a/src/ridgecourse/core/planner.py
+++ b/src/ridgecourse/core/planner.py
@@ -188,10 +188,11 @@
     def _record_origin_outage(self, now: Seconds) -> None:
         """Restart the stall time of all origin slots after an outage of the origin.
 
-        During the outage no candidate could make progress. Otherwise every hub would
-        take over in turn, and each would fetch a copy once the origin is back. In one
-        case six hubs shared the origin's link, and the version was complete 3 s later
-        than with a single hub.
+        During the outage no candidate could make progress, so only the first candidates
+        are to fetch from the origin afterwards. Otherwise every hub would take over in
+        turn, and each would fetch a copy once the origin is back. In one case six hubs
+        shared the origin's link, and the version was complete 3 s later than with a
+        single hub.
         """
         for slot in self.origin_slots:
             slot.reset_stall_timer(now)
