--- a/src/ridgecourse/cluster/__init__.py
+++ b/src/ridgecourse/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""What a process believes of the cluster, read from the platform's store."""
+"""The view of the cluster that a process builds from the platform's store."""
--- a/src/ridgecourse/cluster/bad_records.py
+++ b/src/ridgecourse/cluster/bad_records.py
@@ -1,42 +1,42 @@
-"""Records that cannot be used: counted, and logged once for each key."""
+"""Counts records that cannot be used, and logs each key once."""
 
 from ridgecourse.core.finding import Finding
 from ridgecourse.net.events import EventKind, EventStream
 from ridgecourse.net.record_source import Topic
 
-KEYS_LOGGED = 64
-"""Keys of one topic that are logged and remembered. The store may hold any number of
-records of other writers, rewritten each second; all are counted."""
-TEXT_LOGGED = 300
-"""Longest text of a key or fault in the log, in characters."""
+MAX_LOGGED_KEYS = 64
+"""Most keys of a topic that are logged and remembered. Other writers may put any number
+of records into the store and rewrite them each second; all of them are counted."""
+MAX_LOGGED_CHARACTERS = 300
+"""Longest text of a key or problem in the log, in characters."""
 
 
-class BadRecords:
-    """Notes records that cannot be used.
+class InvalidRecords:
+    """Counts and logs records that cannot be used.
 
     Attributes:
-        logged: Keys that have been logged, by topic.
+        logged_keys: Keys that have been logged, by topic.
     """
 
     def __init__(self, events: EventStream) -> None:
         self.events = events
-        self.logged: dict[Topic, set[str]] = {topic: set() for topic in Topic}
+        self.logged_keys: dict[Topic, set[str]] = {topic: set() for topic in Topic}
 
-    def note(self, topic: Topic, finding: Finding) -> None:
-        """Count a record, and log it if its key is new.
+    def record(self, topic: Topic, problem: Finding) -> None:
+        """Count an invalid record, and log it if its key has not been logged.
 
         Args:
-            topic: Where it stands.
-            finding: Its key as the place, and what is wrong with it.
+            topic: The topic of the record.
+            problem: The record's key as the place, and why the record is invalid.
         """
         self.events.figures.count(f"records_rejected_{topic.value}")
-        logged = self.logged[topic]
-        if finding.place in logged or len(logged) >= KEYS_LOGGED:
+        logged_keys = self.logged_keys[topic]
+        if problem.place in logged_keys or len(logged_keys) >= MAX_LOGGED_KEYS:
             return
-        logged.add(finding.place)
+        logged_keys.add(problem.place)
         self.events.emit(
             EventKind.BAD_INPUT,
             topic=topic.value,
-            key=finding.place[:TEXT_LOGGED],
-            error=finding.message[:TEXT_LOGGED],
+            key=problem.place[:MAX_LOGGED_CHARACTERS],
+            error=problem.message[:MAX_LOGGED_CHARACTERS],
         )
--- a/src/ridgecourse/cluster/decoder.py
+++ b/src/ridgecourse/cluster/decoder.py
@@ -1,4 +1,4 @@
-"""What a platform's adapter provides to read the store's records."""
+"""Interface through which a platform's adapter decodes the store's records."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -19,17 +19,21 @@
 
     @abstractmethod
     def decision(self, record: KeyedRecord) -> Result[Decision | None, Findings]:
-        """Return an operator's decision; None for kinds that are not known.
+        """Decode an operator's decision.
 
-        The place of a finding is the record's key.
+        Returns:
+            The decision, or None for a record of an unknown kind. A failure holds the
+            problems of the record; the place of each is the record's key.
         """
 
     @abstractmethod
     def targets(
         self, records: Sequence[KeyedRecord]
     ) -> tuple[Sequence[TargetRecord], Findings]:
-        """Return changes of the list of targets, and what could not be read.
+        """Decode changes of the list of targets.
 
-        A record that could not be read is a change as well: its target is not to be
-        used. The place of a finding is the record's key.
+        Returns:
+            The changes, and the problems of invalid records. An invalid record is a
+            change as well, because its target must not be used. The place of a problem
+            is the record's key.
         """
--- a/src/ridgecourse/cluster/domain_source.py
+++ b/src/ridgecourse/cluster/domain_source.py
@@ -1,4 +1,8 @@
-"""Reads the store's records from another process of the domain, else from the store."""
+"""Reads the store's records from a process of the failure domain or from the store.
+
+Few processes of a domain read the store; the others read from those. So a record
+crosses the link to the store only a few times for each domain.
+"""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -9,12 +13,12 @@
 from msgspec.structs import replace
 
 from ridgecourse.cluster.decoder import RecordDecoder
-from ridgecourse.cluster.keeper import DecisionKeeper
+from ridgecourse.cluster.keeper import PinnedDecisionSource
 from ridgecourse.cluster.peer_records import ask_records, to_batch
 from ridgecourse.cluster.share import STALE_SECONDS
 from ridgecourse.cluster.tree_reader import (
     ANSWER_SECONDS,
-    PATIENCE_SECONDS,
+    READ_TIMEOUT_SECONDS,
     WAIT_SECONDS,
     Neighbours,
     TreeReader,
@@ -36,33 +40,37 @@
     Topic,
 )
 
-CONNECT_SECONDS = 0.3
-SEED_PATIENCE_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 0.3
+SEED_TIMEOUT_SECONDS = 1.0
 SEED_RETRY_SECONDS = 0.1
-"""How long, and how often, a process that starts asks others before the store: when all
-start at once, within 0.3 s, each seed reads the store for many and has it 0.3 s later.
-When many start again with their seed, loaders tell; the list of targets and a
-connection to them come first. Where nobody answers a start costs this much."""
-ALONE_SECONDS = 5.0
-"""From a start until gateways are known at the latest: the list of targets and a
-connection to a loader take some 0.5 s, beside a busy start of all 2 s and more."""
-SEED_RECEIVING_SECONDS = 5.0
-"""How long a seed is asked to which an answer of the store is on its way: all who start
-would ask for the same 590 KB over the same link else."""
+"""Timeout and retry interval for asking other processes at a start, before the store is
+read. When all processes start at once, within 0.3 s, each seed reads the store for many
+of them and has the records 0.3 s later. When many processes restart together with their
+seed, loaders supply the records; a process needs the list of targets and a connection
+to a loader first. If no process answers, the start takes this timeout longer."""
+MAX_DISCOVERY_SECONDS = 5.0
+"""Longest time from the start of a process until it knows gateways. The list of targets
+and a connection to a loader take about 0.5 s, and 2 s or more while all processes
+start at once."""
+SEED_RECEIVING_TIMEOUT_SECONDS = 5.0
+"""Timeout for asking a seed that is still receiving an answer of the store. Otherwise
+all starting processes would request the same 590 KB over the same link."""
 
 
 class DomainSource(RecordSource):
-    """Reads from a parent in the domain's tree, else from the store.
+    """Reads from a parent in the domain's read tree, or from the store.
 
     Attributes:
         store: The store.
         domain: The failure domain of this process.
-        seed: HOST:PORT of a process to ask at the start; None for none.
-        neighbours: Who else may be asked.
-        readers: Who asks the parent, by topic that is told on.
-        begun: Topics that have been read once.
-        tellers: HOST:PORT of who told the first records, by topic.
-        alone_until: Until when these are asked on.
+        seed: HOST:PORT of the process to ask at the start; None for none.
+        neighbours: The other processes that may be asked.
+        readers: Readers that ask the parent, for each topic that processes pass on.
+        started_topics: Topics that have been read once.
+        first_sources: HOST:PORT of the process that supplied the first records, by
+            topic.
+        discovery_deadline: Time until which the first sources are asked for further
+            records.
     """
 
     def __init__(
@@ -77,48 +85,62 @@
         self.store = store
         self.domain = domain
         self.neighbours = neighbours
-        self.http = HttpClient(CONNECT_SECONDS, source=host)
+        self.http = HttpClient(CONNECT_TIMEOUT_SECONDS, source=host)
         self.seed = seed
         self.events = events
         self.readers = {
             topic: TreeReader(topic, self.http, neighbours, events)
             for topic in (Topic.DECISIONS, Topic.TARGETS)
         }
-        self.begun: set[Topic] = set()
-        self.tellers: dict[Topic, str] = {}
-        self.alone_until = boottime() + ALONE_SECONDS
+        self.started_topics: set[Topic] = set()
+        self.first_sources: dict[Topic, str] = {}
+        self.discovery_deadline = boottime() + MAX_DISCOVERY_SECONDS
 
     def newest(self, topic: Topic) -> RecordBatch:
         """Return the newest record of each key; see ``RecordSource``."""
-        first = topic not in self.begun
-        self.begun.add(topic)
-        if topic is Topic.TARGETS and not first:
-            # Who is behind would take from the list what was added meanwhile.
+        is_first_read = topic not in self.started_topics
+        self.started_topics.add(topic)
+        if topic is Topic.TARGETS and not is_first_read:
+            # The list of a process that lags behind lacks targets that were added in
+            # the meantime, and they would be removed here.
             return self._try_store(topic, lambda: self.store.newest(topic))
-        batch = self._ask_parent(topic, Offset(0))
-        if batch is None and first:
-            batch = self._ask_others(topic)
+        batch = self._read_from_parent(topic, Offset(0))
+        if batch is None and is_first_read:
+            batch = self._read_from_seeds(topic)
         if batch is None:
             batch = self._try_store(topic, lambda: self.store.newest(topic))
-        self._note_answer(topic, batch)
+        self._record_answer(topic, batch)
         return batch
 
     def read(self, topic: Topic, start: Offset, wait: float) -> RecordBatch:
         """Return records from an offset on; see ``RecordSource``."""
-        batch = self._ask_parent(topic, start) or self._ask_teller(topic, start)
+        batch = self._read_from_parent(topic, start) or self._read_from_first_source(
+            topic, start
+        )
         if batch is None:
-            batch = self._try_store(topic, lambda: self._read_on(topic, start, wait))
-        self._note_answer(topic, batch)
+            batch = self._try_store(
+                topic, lambda: self._read_or_skip_ahead(topic, start, wait)
+            )
+        self._record_answer(topic, batch)
         return batch
 
-    def _note_answer(self, topic: Topic, batch: RecordBatch) -> None:
-        """Take in what an answer tells of what to read after an outage."""
+    def _record_answer(self, topic: Topic, batch: RecordBatch) -> None:
+        """Record the age and sizes of an answer.
+
+        They decide what is read from the store after an outage.
+        """
         if topic in self.readers:
             sizes = [len(record.value) for record in batch.records]
             self.readers[topic].tries.note_answer(batch.heard_at, sizes)
 
-    def _read_on(self, topic: Topic, start: Offset, wait: float) -> RecordBatch:
-        """Read the store on, or what holds after an outage in a series of changes."""
+    def _read_or_skip_ahead(
+        self, topic: Topic, start: Offset, wait: float
+    ) -> RecordBatch:
+        """Read the next records from the store, or only the newest ones.
+
+        After an outage that began in a series of large changes, only the newest
+        decision of each key is read.
+        """
         reader = self.readers.get(topic)
         if topic is not Topic.DECISIONS or reader is None or not reader.tries.in_series:
             return self.store.read(topic, start, wait)
@@ -126,24 +148,27 @@
         return replace(batch, passed_from=start) if batch.end > start else batch
 
     def _try_store(self, topic: Topic, read: Callable[[], RecordBatch]) -> RecordBatch:
-        """Read the store, if that is not left to others for now.
+        """Read the store unless this process leaves that to others.
 
         Raises:
-            RecordsGone: The store keeps them no longer.
-            SourceUnavailable: It is, or the store gave no usable answer.
+            RecordsGone: The store does not keep the records any more.
+            SourceUnavailable: Other processes are to read the store, or the store gave
+                no usable answer.
         """
         reader = self.readers.get(topic)
         if reader is None:
             return read()
-        if reader.tries.leaves_to_others(len(reader.lost), boottime()):
-            raise SourceUnavailable("left to others while the domain is cut off")
-        begun = boottime()
+        if reader.tries.leaves_to_others(len(reader.lost_parents), boottime()):
+            raise SourceUnavailable(
+                "store read left to other processes while the domain is cut off"
+            )
+        started_at = boottime()
         try:
             batch = read()
         except SourceUnavailable as error:
             readers = count_readers(self.domain, self.neighbours.known_gateways())
             reader.tries.note_failure(readers, boottime())
-            self._tell_read(topic, begun, error=str(error))
+            self._emit_store_read(topic, started_at, error=str(error))
             raise
         except RecordsGone:
             reader.tries.note_success()
@@ -151,102 +176,115 @@
         reader.tries.note_success()
         if batch.took >= LONG_ANSWER_SECONDS:
             size = sum(len(record.value) for record in batch.records)
-            self._tell_read(topic, begun, took=round(batch.took, 2), bytes=size)
+            self._emit_store_read(
+                topic, started_at, took=round(batch.took, 2), bytes=size
+            )
         return batch
 
-    def _tell_read(self, topic: Topic, begun: float, **detail: Any) -> None:
-        """Emit an event of a read that failed or took long."""
-        seconds = round(boottime() - begun, 2)
+    def _emit_store_read(self, topic: Topic, started_at: float, **detail: Any) -> None:
+        """Emit an event for a read of the store that failed or was slow."""
+        seconds = round(boottime() - started_at, 2)
         self.events.emit(
             EventKind.STORE_READ, topic=topic.value, seconds=seconds, **detail
         )
 
     def is_receiving(self, topic: Topic) -> bool:
-        """Tell whether an answer is on its way here, or to the parent."""
+        """Check whether this process or its parent is receiving a store answer."""
         reader = self.readers.get(topic)
-        told = reader is not None and reader.told_receiving
-        return told or self.store.is_receiving(topic)
+        parent_receiving = reader is not None and reader.parent_receiving
+        return parent_receiving or self.store.is_receiving(topic)
 
     def append(self, topic: Topic, key: str, value: bytes, end: Offset) -> None:
         """Write a record; see ``RecordSource``."""
         self.store.append(topic, key, value, end)
 
-    def _ask_parent(self, topic: Topic, start: Offset) -> RecordBatch | None:
-        """Return what a parent tells; None where the store is to be read."""
+    def _read_from_parent(self, topic: Topic, start: Offset) -> RecordBatch | None:
+        """Return a parent's records, or None if the store is to be read."""
         reader = self.readers.get(topic)
         return reader.ask(start) if reader is not None else None
 
-    def _ask_teller(self, topic: Topic, start: Offset) -> RecordBatch | None:
-        """Return what the process tells that told the first records.
+    def _read_from_first_source(
+        self, topic: Topic, start: Offset
+    ) -> RecordBatch | None:
+        """Return records of the process that supplied the first records.
 
-        It is asked on while no gateway is known yet: a third of the gateways started
-        again at once, and each read the next large configuration from the store.
+        This process is asked for further records as long as no gateway is known. When a
+        third of the gateways were restarted at once, each of them read the next large
+        configuration from the store.
+
+        Returns:
+            The records, or None if the store is to be read.
         """
-        if topic not in self.tellers:
+        if topic not in self.first_sources:
             return None
-        limit = min(self.alone_until, boottime() + PATIENCE_SECONDS)
-        for turn in count(1):
+        deadline = min(self.discovery_deadline, boottime() + READ_TIMEOUT_SECONDS)
+        for attempt in count(1):
             if self.neighbours.known_gateways():
-                del self.tellers[topic]
-                return self._ask_parent(topic, start)
-            if boottime() > limit:
+                del self.first_sources[topic]
+                return self._read_from_parent(topic, start)
+            if boottime() > deadline:
                 break
             with suppress(SourceUnavailable):
-                # It has gone, or is busy with its own start; others are asked then.
-                asked = self.tellers[topic]
+                # The process may have stopped or may be starting itself; then another
+                # process is asked.
+                address = self.first_sources[topic]
                 shared = ask_records(
-                    self.http, asked, topic, start, ANSWER_SECONDS, WAIT_SECONDS
+                    self.http, address, topic, start, ANSWER_SECONDS, WAIT_SECONDS
                 )
                 if shared.receiving or shared.age <= STALE_SECONDS:
                     return to_batch(shared)
             eventlet.sleep(SEED_RETRY_SECONDS)
-            self.tellers[topic] = self._choose_asked(turn)
-        del self.tellers[topic]
+            self.first_sources[topic] = self._choose_address(attempt)
+        del self.first_sources[topic]
         return None
 
-    def _ask_others(self, topic: Topic) -> RecordBatch | None:
-        """Return what a seed or another process tells; None where none does.
+    def _read_from_seeds(self, topic: Topic) -> RecordBatch | None:
+        """Return the records of a seed or of another process; None if none has any.
 
-        The seeds may be starting as well; those that a process learns of meanwhile,
-        loaders of its domain first, may not.
+        The seeds may be starting as well. Processes that this one discovers in the
+        meantime, loaders of its domain first, may be running already.
         """
         if self.seed is None or topic not in self.readers:
             return None
-        limit = boottime() + SEED_PATIENCE_SECONDS
-        longest = boottime() + SEED_RECEIVING_SECONDS
-        for turn in count():
-            if boottime() > limit:
+        deadline = boottime() + SEED_TIMEOUT_SECONDS
+        receiving_deadline = boottime() + SEED_RECEIVING_TIMEOUT_SECONDS
+        for attempt in count():
+            if boottime() > deadline:
                 return None
-            asked = self._choose_asked(turn)
+            address = self._choose_address(attempt)
             with suppress(SourceUnavailable):
-                # It may be starting as well.
-                shared = ask_records(self.http, asked, topic, Offset(0), ANSWER_SECONDS)
+                # The process may be starting as well.
+                shared = ask_records(
+                    self.http, address, topic, Offset(0), ANSWER_SECONDS
+                )
                 if shared.age <= STALE_SECONDS:
-                    self.tellers[topic] = asked
+                    self.first_sources[topic] = address
                     self.events.emit(
-                        EventKind.READS_FROM, parent=asked, topic=topic.value
+                        EventKind.READS_FROM, parent=address, topic=topic.value
                     )
                     return to_batch(shared)
                 if shared.receiving:
-                    limit = min(longest, boottime() + SEED_PATIENCE_SECONDS)
+                    deadline = min(
+                        receiving_deadline, boottime() + SEED_TIMEOUT_SECONDS
+                    )
             eventlet.sleep(SEED_RETRY_SECONDS)
         return None
 
-    def _choose_asked(self, turn: int) -> str:
-        """Return HOST:PORT of whom to ask: the seed and the others in turn."""
+    def _choose_address(self, attempt: int) -> str:
+        """Return HOST:PORT to ask next: the seed and the other peers in turn."""
         assert self.seed is not None
-        others = [p for p in self.neighbours.record_peers() if p != self.seed]
-        if turn % 2 == 0 or not others:
+        others = [peer for peer in self.neighbours.record_peers() if peer != self.seed]
+        if attempt % 2 == 0 or not others:
             return self.seed
-        return others[turn // 2 % len(others)]
+        return others[attempt // 2 % len(others)]
 
 
 class StoreRecords(NamedTuple):
-    """The records of the platform's store, as its adapter provides them.
+    """Access to the platform's store, as its adapter provides it.
 
     Attributes:
-        source: Reads them.
-        decoder: Decodes them.
+        source: Reads the records.
+        decoder: Decodes the records.
     """
 
     source: RecordSource
@@ -260,10 +298,20 @@
     events: EventStream,
     pace: ReadPace,
 ) -> ClusterView:
-    """Return the view of a process that reads from others of its domain."""
+    """Return the view of a process that reads through its domain's read tree.
+
+    Args:
+        site: Identity, addresses and bounds of the process.
+        store: Access to the platform's store.
+        neighbours: The other processes that may be asked.
+        events: The event stream.
+        pace: How often the process reads.
+    """
     seeds = seed_peers(site.seeds, site.peer_ports[0] + 1)
-    keeper = DecisionKeeper(store.source, store.decoder, events)
+    pinned_decisions = PinnedDecisionSource(store.source, store.decoder, events)
     seed = choose_seed(site.host, seeds)
-    source = DomainSource(keeper, site.host, site.domain, seed, neighbours, events)
+    source = DomainSource(
+        pinned_decisions, site.host, site.domain, seed, neighbours, events
+    )
     bound = site.bounds.version_seconds
-    return ClusterView(source, keeper, store.decoder, events, bound, pace)
+    return ClusterView(source, pinned_decisions, store.decoder, events, bound, pace)
--- a/src/ridgecourse/cluster/keeper.py
+++ b/src/ridgecourse/cluster/keeper.py
@@ -1,9 +1,9 @@
-"""Keeps decisions that the store's newest records no longer tell.
+"""Pins decisions whose highest revision is not the newest record of its key.
 
-The newest record of a key need not be the highest revision: a write that had no answer
-is done again, and the first one may be carried out seconds later, after others. Who
-has read all records knows the highest. So that a process that starts knows it as well,
-it is written into a topic of the system's own.
+The newest record of a key need not be the highest revision: a write without an answer
+is repeated, and the store may carry out the first write seconds later, after other
+writes. Only a process that has read all records knows the highest revision. It writes
+this decision into a topic of the system's own, where starting processes read it.
 """
 
 from collections.abc import Callable, Iterator, Sequence
@@ -29,22 +29,23 @@
 from ridgecourse.net.threads import spawn_loop
 
 RETRY_SECONDS = 0.5
-"""Between two tries to write. Writes fail while the store is away; until then only a
-start of all processes at once would forget the decision."""
-LOOK_SECONDS = 3.0
-"""After a start, when what is kept is looked at once more, and as much later at most:
-who starts between a late write and the keeping of what it replaced finds nothing."""
+"""Delay between two attempts to write. Writes fail while the store is unavailable.
+Until a write succeeds, the decision is lost only if all processes restart at once."""
+RECHECK_SECONDS = 3.0
+"""Delay from a start until the pinned decisions are read again, plus at most the same
+time once more. A process that starts between a late write and the pinning of the
+decision that the write replaced finds no pinned decision."""
 
 
-class DecisionKeeper(RecordSource):
-    """Reads records of the store, and decisions that were kept with the newest.
+class PinnedDecisionSource(RecordSource):
+    """Reads the store's records, and adds pinned decisions to the newest ones.
 
     Attributes:
         store: The store.
-        decoder: Decodes decisions, of which the higher one is kept.
-        recalled: Takes in what is found kept after a start.
-        look_at: When that is looked at; infinite for not again.
-        pending: Records still to be written, by key.
+        decoder: Decodes decisions, of which the highest revision is pinned.
+        apply_pinned: Applies the pinned decisions that are found after a start.
+        recheck_at: When pinned decisions are read again; infinite for not again.
+        pending: Records that are still to be written, by key.
     """
 
     def __init__(
@@ -56,32 +57,32 @@
         self.store = store
         self.decoder = decoder
         self.events = events
-        self.recalled: Callable[[Sequence[KeyedRecord]], None] = lambda _: None
-        self.look_at = inf
+        self.apply_pinned: Callable[[Sequence[KeyedRecord]], None] = lambda _: None
+        self.recheck_at = inf
         self.pending: dict[str, KeyedRecord] = {}
         self.changed = Broadcast()
         self.thread: eventlet.greenthread.GreenThread | None = None
 
     def start(self) -> None:
-        """Begin to write what is to be kept."""
-        self._look_again()
+        """Start the thread that writes and rechecks pinned decisions."""
+        self._schedule_recheck()
         self.thread = spawn_loop(self._run)
 
     def close(self) -> None:
-        """Stop."""
+        """Stop the thread."""
         if self.thread is not None:
             self.thread.kill()
 
     def newest(self, topic: Topic) -> RecordBatch:
-        """Return the newest record of each key, and the decisions that are kept."""
+        """Return the newest record of each key, and the pinned decisions."""
         if topic is not Topic.DECISIONS:
             return self.store.newest(topic)
-        # The small answer first: were it lost after the large one, both would be read
-        # again. What is kept in between is found when it is looked at once more.
-        kept = self.store.newest(Topic.KEPT).records
+        # The small answer is read first: if its read failed after the large one, both
+        # would be read again. The recheck finds decisions pinned between the two reads.
+        pinned = self.store.newest(Topic.KEPT).records
         batch = self.store.newest(topic)
-        self._look_again()
-        records = [*batch.records, *place_kept(batch, kept)]
+        self._schedule_recheck()
+        records = [*batch.records, *place_pinned(batch, pinned)]
         return replace(batch, records=records)
 
     def read(self, topic: Topic, start: Offset, wait: float) -> RecordBatch:
@@ -89,7 +90,7 @@
         return self.store.read(topic, start, wait)
 
     def is_receiving(self, topic: Topic) -> bool:
-        """Tell whether an answer is on its way here; see ``RecordSource``."""
+        """Check whether an answer is being received; see ``RecordSource``."""
         return self.store.is_receiving(topic)
 
     def append(self, topic: Topic, key: str, value: bytes, end: Offset) -> None:
@@ -97,7 +98,7 @@
         self.store.append(topic, key, value, end)
 
     def keep(self, record: KeyedRecord) -> None:
-        """Keep a decision that is higher than the newest record of its key."""
+        """Pin a decision with a higher revision than the newest record of its key."""
         self.pending[record.key] = record
         self.changed.notify()
 
@@ -105,66 +106,69 @@
         while True:
             if not self.pending:
                 self._wait_for_work()
-            if boottime() >= self.look_at:
-                self._look()
+            if boottime() >= self.recheck_at:
+                self._recheck()
             for record in list(self.pending.values()):
-                self._try_keep(record)
+                self._try_pin(record)
             if self.pending:
                 eventlet.sleep(RETRY_SECONDS * (0.5 + random()))
 
     def _wait_for_work(self) -> None:
-        left = self.look_at - boottime()
-        self.changed.wait(None if left == inf else max(0.0, left))
+        remaining = self.recheck_at - boottime()
+        self.changed.wait(None if remaining == inf else max(0.0, remaining))
 
-    def _look_again(self) -> None:
-        self.look_at = boottime() + LOOK_SECONDS * (1.0 + random())
+    def _schedule_recheck(self) -> None:
+        self.recheck_at = boottime() + RECHECK_SECONDS * (1.0 + random())
         self.changed.notify()
 
-    def _look(self) -> None:
+    def _recheck(self) -> None:
         try:
-            kept = self.store.newest(Topic.KEPT).records
+            pinned = self.store.newest(Topic.KEPT).records
         except SourceUnavailable as error:
             self.events.emit(EventKind.LOG_LOST, topic="kept", error=str(error))
-            self._look_again()
+            self._schedule_recheck()
             return
-        self.look_at = inf
-        self.recalled(kept)
+        self.recheck_at = inf
+        self.apply_pinned(pinned)
 
     def revision(self, record: KeyedRecord) -> int:
-        """Return the revision that a decision's record has; -1 where it is none."""
+        """Return the revision of a decision's record; -1 if it holds no decision."""
         decision = self.decoder.decision(record).value_or(None)
         return -1 if decision is None else decision.version
 
-    def _try_keep(self, record: KeyedRecord) -> None:
+    def _try_pin(self, record: KeyedRecord) -> None:
         try:
-            self._keep_once(record)
+            self._pin_once(record)
         except SourceUnavailable as error:
             self.events.emit(EventKind.LOG_LOST, topic="kept", error=str(error))
         except TopicGrown:
-            # Another process has kept something; what it is decides whether to write.
+            # Another process has pinned a decision in the meantime. The next attempt
+            # reads the topic again to decide whether to write.
             self.events.figures.count("kept_elsewhere")
         else:
             if self.pending.get(record.key) == record:
                 del self.pending[record.key]
 
-    def _keep_once(self, record: KeyedRecord) -> None:
-        """Write a record unless one as high is kept already."""
+    def _pin_once(self, record: KeyedRecord) -> None:
+        """Write a record unless the same or a higher revision is pinned already."""
         batch = self.store.newest(Topic.KEPT)
-        for kept in batch.records:
-            if kept.key == record.key and self.revision(kept) >= self.revision(record):
+        for pinned in batch.records:
+            if pinned.key == record.key and self.revision(pinned) >= self.revision(
+                record
+            ):
                 return
         self.append(Topic.KEPT, record.key, record.value, batch.end)
         self.events.emit(EventKind.DECISION_KEPT, offset=record.offset, key=record.key)
 
 
-def place_kept(
-    batch: RecordBatch, kept: Sequence[KeyedRecord]
+def place_pinned(
+    batch: RecordBatch, pinned: Sequence[KeyedRecord]
 ) -> Iterator[KeyedRecord]:
-    """Yield kept decisions at the offsets of the records that they stand in for.
+    """Yield pinned decisions at the offsets of the records that they replace.
 
-    Their own offsets count in another topic.
+    The offsets of the pinned records themselves belong to another topic.
     """
     offsets = {record.key: record.offset for record in batch.records}
-    for record in kept:
+    for record in pinned:
         offset = offsets.get(record.key, Offset(0))
         yield KeyedRecord(record.key, record.value, offset)
--- a/src/ridgecourse/cluster/peer_records.py
+++ b/src/ridgecourse/cluster/peer_records.py
@@ -1,4 +1,4 @@
-"""Asks another process for the store's records."""
+"""Fetches the store's records from another process."""
 
 from math import inf
 
@@ -21,18 +21,20 @@
     timeout: float,
     wait: float = 0.0,
 ) -> SharedRecords:
-    """Return the records that a process holds, infinitely old if it has read none.
+    """Return the records that a process holds.
+
+    If the process has read no records, the result is empty and infinitely old.
 
     Args:
-        http: The client.
+        http: The HTTP client.
         address: HOST:PORT of the process.
-        topic: The stream.
+        topic: The topic to read.
         start: The first offset wanted.
         timeout: Longest wait for the answer beyond ``wait``, in seconds.
-        wait: How long the process may wait for a first record, in seconds.
+        wait: How long the process may wait for a new record, in seconds.
 
     Raises:
-        SourceUnavailable: It gave no usable answer.
+        SourceUnavailable: The process gave no usable answer.
     """
     sent_at = boottime()
     path = f"{RECORDS_PATH}{topic.value}/{start}?{WAIT_PARAMETER}={wait}"
@@ -43,19 +45,24 @@
     if status == 204:
         return SharedRecords([], Offset(0), inf, lost=True)
     if status != 200:
-        raise SourceUnavailable(f"{address}: status {status}")
+        raise SourceUnavailable(f"{address}: HTTP status {status}, expected 200 or 204")
     decoded = decode_message(data, SharedRecords)
     if isinstance(decoded, Failure):
         raise SourceUnavailable(f"{address}: {decoded.failure()}")
     shared = decoded.unwrap()
-    # On a slow link an answer is older than it says: taken for new, it let a gateway
-    # that was behind reject what a newer configuration allows.
-    way = max(0.0, boottime() - sent_at - shared.waited)
-    return replace(shared, age=shared.age + way, read_age=shared.read_age + way)
+    # The network delay makes an answer older than the age it states. Without adding the
+    # delay, a gateway that lagged behind on a slow link took its configuration for
+    # current and rejected requests that a newer configuration allows.
+    network_delay = max(0.0, boottime() - sent_at - shared.waited)
+    return replace(
+        shared,
+        age=shared.age + network_delay,
+        read_age=shared.read_age + network_delay,
+    )
 
 
 def to_batch(shared: SharedRecords) -> RecordBatch:
-    """Return an answer that has just come as records that were read together."""
+    """Return an answer that was received just now as a batch of records."""
     now = boottime()
     return RecordBatch(
         shared.records,
--- a/src/ridgecourse/cluster/relay.py
+++ b/src/ridgecourse/cluster/relay.py
@@ -1,7 +1,7 @@
-"""Learns from other processes what the store does not tell this one.
+"""Fetches records from other processes while this process cannot read the store.
 
-The store may turn some instances away, or be out of their reach, while others read
-it. A decision must be in force here as well, so those others are asked.
+The store may reject some instances, or be unreachable from them, while other instances
+can read it. A decision must take effect in all processes, so this process asks others.
 """
 
 from collections.abc import Callable, Sequence
@@ -17,18 +17,21 @@
 from ridgecourse.net.threads import spawn_loop
 
 POLL_SECONDS = 0.5
-"""Between two questions while the store is lost: decisions must be in force within
-2 s, and a lost store is noticed after up to 2.4 s, of some 7 allowed then."""
-ASKED = 2
-"""Processes asked at a time: one of them may be cut off as well."""
+"""Interval between two rounds while the store is unavailable. Decisions must be in
+force within 2 s. An outage of the store is detected after up to 2.4 s; about 7 s are
+allowed in that case."""
+PEERS_PER_ROUND = 2
+"""Processes asked in each round, because one of them may be cut off as well."""
 ANSWER_SECONDS = 0.5
 
 
 class RecordRelay:
-    """Asks other processes for records while the store is lost.
+    """Asks other processes for records while the store is unavailable.
 
     Attributes:
-        peers: Returns HOST:PORT of those to ask, the nearest first.
+        view: The view to which the received records are applied.
+        peers: Returns HOST:PORT of the processes to ask, the nearest first.
+        peer_counter: Counts the requests, so that the peers are asked in turn.
     """
 
     def __init__(
@@ -42,15 +45,15 @@
         self.http = http
         self.peers = peers
         self.events = events
-        self.turns = count()
+        self.peer_counter = count()
         self.thread: eventlet.greenthread.GreenThread | None = None
 
     def start(self) -> None:
-        """Begin to watch the store."""
+        """Start the thread that asks other processes while the store is unavailable."""
         self.thread = spawn_loop(self._run)
 
     def close(self) -> None:
-        """Stop."""
+        """Stop the thread."""
         if self.thread is not None:
             self.thread.kill()
 
@@ -58,19 +61,19 @@
         while True:
             eventlet.sleep(POLL_SECONDS)
             for topic in self.view.lost_topics():
-                self._ask_some(topic)
+                self._ask_peers(topic)
 
-    def _ask_some(self, topic: Topic) -> None:
+    def _ask_peers(self, topic: Topic) -> None:
         peers = self.peers()
-        for _ in range(min(ASKED, len(peers))):
-            self._ask(topic, peers[next(self.turns) % len(peers)])
+        for _ in range(min(PEERS_PER_ROUND, len(peers))):
+            self._ask_peer(topic, peers[next(self.peer_counter) % len(peers)])
 
-    def _ask(self, topic: Topic, address: str) -> None:
+    def _ask_peer(self, topic: Topic, address: str) -> None:
         start = self.view.share.topics[topic].end
         try:
             shared = ask_records(self.http, address, topic, start, ANSWER_SECONDS)
         except SourceUnavailable:
-            # It may be cut off as well, or gone; the next one is asked.
+            # The peer may be cut off as well, or stopped; the next peer is asked.
             self.events.figures.count("relay_unanswered")
             return
         if not shared.records and (topic is Topic.TARGETS or not shared.end):
--- a/src/ridgecourse/cluster/share.py
+++ b/src/ridgecourse/cluster/share.py
@@ -1,4 +1,4 @@
-"""Records of the platform's store, told to other processes."""
+"""Serves the records of the platform's store to other processes."""
 
 from collections.abc import Callable, Collection, Iterable, Iterator, Sequence
 from zlib import MAX_WBITS, compress
@@ -16,39 +16,39 @@
 
 RECORDS_PATH = "/records/"
 WAIT_PARAMETER = "wait"
-LONGEST_WAIT_SECONDS = 2.0
+MAX_WAIT_SECONDS = 2.0
 STALE_SECONDS = 1.4
-"""Age from which on nobody relies on what another process last heard of the store: with
-the own read that follows, a decision is in force in less than the 2 s allowed. Where
-the store takes 0.35 s to answer, what is heard is up to 1.1 s old."""
-KEPT_DROPPED = 1000
-"""Dropped or rejected keys that are still told: far more than targets leave within an
-outage."""
+"""Age from which a process does not rely on another process's records. It then reads
+the store itself, and a decision is still in force in less than the 2 s allowed. If the
+store takes 0.35 s to answer, records of other processes are up to 1.1 s old."""
+MAX_REMOVED_KEYS = 1000
+"""Most removed keys, and most rejected keys, that are still served: far more than the
+targets that leave during an outage."""
 TOLD_LATE_SECONDS = 3.0
-"""How long a decision that was found late is told to all who ask, whatever they have
-read: each asks some times in that."""
-COMPRESSED_BYTES = 4096
-"""Longer answers are compressed: a configuration of 54 KB is a tenth of that then, on
-links of loaders that carry 450 KB/s."""
+"""How long a decision that was found late is served to all processes, whatever offset
+they ask from. Each process asks several times in that time."""
+COMPRESSION_THRESHOLD_BYTES = 4096
+"""Answers of this size or more are compressed. Compression shrinks a configuration of
+54 KB to a tenth, on links of loaders that carry 450 KB/s."""
 COMPRESSION_LEVEL = 1
 GZIP_WINDOW_BITS = MAX_WBITS + 16
-"""For ``zlib`` to write the format of gzip: the module of that name takes longer to
-import."""
+"""Makes ``zlib`` write the gzip format; importing the gzip module takes longer."""
 
 
 class SharedRecords(Struct, frozen=True):
     """The answer to a process that asks for records.
 
     Attributes:
-        records: The newest of each key from the offset asked for on.
-        end: Where the answering process goes on reading.
-        age: Seconds since the store told that there is nothing newer.
-        waited: Seconds for which the process waited for news before it answered.
-        receiving: Whether an answer of the store is on its way to it.
-        lost: Whether it cannot read the store now.
-        kept: Seconds for which it does not believe removals, after an outage.
+        records: The newest record of each key, from the requested offset on.
+        end: Offset at which the answering process reads next.
+        age: Seconds since the store confirmed that there are no newer records.
+        waited: Seconds for which the process waited for new records before it answered.
+        receiving: Whether the answering process is receiving an answer of the store.
+        lost: Whether the answering process cannot read the store.
+        kept: Seconds for which the answering process still ignores removals after an
+            outage.
         read_age: Seconds since the newest record was first read from the store.
-        level: Processes through which that record came to it.
+        level: Number of processes that passed that record on to the answering process.
     """
 
     records: Sequence[KeyedRecord]
@@ -63,94 +63,101 @@
 
 
 class TopicRecords:
-    """What holds of one topic.
+    """The current records of a topic.
 
     Attributes:
-        records: By key, dropped keys included.
-        end: Where to go on reading.
-        heard_at: When the store told that there is nothing newer; 0 for never.
-        found_late: Records that hold though newer ones of their key were known, and
-            until when they are told.
-        read_at: When the newest record was first read from the store, by anybody.
-        level: Processes through which that record came here.
+        records: The records by key, including those of removed keys.
+        end: Offset at which to read next.
+        confirmed_at: When the store confirmed that there are no newer records; 0 for
+            never.
+        late_records: Records that are in force although newer records of their keys
+            were known before, and until when they are served to all.
+        read_at: When the newest record was first read from the store, by any process.
+        level: Number of processes that passed that record on to this one.
     """
 
     def __init__(self) -> None:
         self.read_at = Seconds(0.0)
         self.level = 0
-        self.found_late: dict[str, tuple[KeyedRecord, float]] = {}
+        self.late_records: dict[str, tuple[KeyedRecord, float]] = {}
         self.records: dict[str, KeyedRecord] = {}
         self.end = Offset(0)
-        self.heard_at = Seconds(0.0)
+        self.confirmed_at = Seconds(0.0)
 
     def take(self, batch: RecordBatch) -> None:
-        """Take in records; an older one never replaces a newer."""
-        self.note_way(batch)
+        """Apply a batch; an older record never replaces a newer one."""
+        self.record_origin(batch)
         for record in batch.records:
             known = self.records.get(record.key)
             if known is None or known.offset < record.offset:
                 self.put(record)
-        self.note_read(batch)
-        self._forget_dropped()
+        self.record_progress(batch)
+        self._evict_removed()
 
     def put(self, record: KeyedRecord) -> None:
-        """Take in a record that is known to hold."""
+        """Store a record as the current one of its key."""
         self.records.pop(record.key, None)
         self.records[record.key] = record
 
     def put_late(self, record: KeyedRecord) -> None:
-        """Take in a record that holds in place of a newer one of its key."""
+        """Store a record that takes the place of a newer record of its key."""
         self.put(record)
-        self.found_late[record.key] = record, boottime() + TOLD_LATE_SECONDS
+        self.late_records[record.key] = record, boottime() + TOLD_LATE_SECONDS
 
-    def note_way(self, batch: RecordBatch) -> None:
-        """Note when what is new in a batch was first read, and by which way it came."""
+    def record_origin(self, batch: RecordBatch) -> None:
+        """Record when the new records of a batch were first read, and their level."""
         if batch.records and batch.end > self.end:
             self.read_at = batch.read_at
             self.level = batch.level
 
-    def note_read(self, batch: RecordBatch) -> None:
-        """Note how far the topic has been read, and when."""
+    def record_progress(self, batch: RecordBatch) -> None:
+        """Record up to which offset the topic has been read, and when."""
         self.end = max(self.end, batch.end)
         if not batch.behind:
-            self.heard_at = max(self.heard_at, batch.heard_at)
+            self.confirmed_at = max(self.confirmed_at, batch.heard_at)
 
     @property
     def age(self) -> float:
-        """Seconds since the store told that there is nothing newer."""
-        return boottime() - self.heard_at
+        """Seconds since the store confirmed that there are no newer records."""
+        return boottime() - self.confirmed_at
 
     @property
     def lag(self) -> float:
-        """Seconds since any process read the newest record from the store."""
+        """Seconds since the newest record was first read from the store."""
         return boottime() - self.read_at
 
-    def drop_unlisted(self, listed: Collection[str], end: Offset) -> None:
-        """Note that keys were dropped meanwhile: the whole topic, read up to an end.
+    def remove_unlisted(self, listed: Collection[str], end: Offset) -> None:
+        """Store removals of the keys that a complete list does not contain.
 
-        Their removals were passed over, and those who read from here have to be told.
+        The reader skipped the records of these removals, but processes that read from
+        this one must receive them.
+
+        Args:
+            listed: The keys in the list.
+            end: Offset up to which the list was read.
         """
         for key, known in list(self.records.items()):
             if known.value and key not in listed and known.offset < end:
                 self.put(KeyedRecord(key, b"", Offset(end - 1)))
 
-    def _forget_dropped(self) -> None:
-        """Forget all but the last keys that were dropped, and that were rejected.
+    def _evict_removed(self) -> None:
+        """Delete all but the latest removed keys and the latest rejected keys.
 
-        Counted apart: any number of rejected ones leaves it known which targets left.
+        The two kinds are counted separately, so that rejected keys, however many they
+        are, do not displace the record of which targets left.
         """
         empty = [record for record in self.records.values() if not record.value]
-        dropped = [record.key for record in empty if not record.broken]
+        removed = [record.key for record in empty if not record.broken]
         rejected = [record.key for record in empty if record.broken]
-        for key in [*dropped[:-KEPT_DROPPED], *rejected[:-KEPT_DROPPED]]:
+        for key in [*removed[:-MAX_REMOVED_KEYS], *rejected[:-MAX_REMOVED_KEYS]]:
             del self.records[key]
 
     def since(self, start: Offset) -> SharedRecords:
-        """Return the records from an offset on."""
+        """Return the records from an offset on, and the late records."""
         now = boottime()
-        late = [record for record, end in self.found_late.values() if now < end]
-        newer = [r for r in self.records.values() if r.offset >= start]
-        records = [*newer, *(r for r in late if r.offset < start)]
+        late = [record for record, end in self.late_records.values() if now < end]
+        newer = [record for record in self.records.values() if record.offset >= start]
+        records = [*newer, *(record for record in late if record.offset < start)]
         records.sort(key=lambda record: record.offset)
         return SharedRecords(
             records, self.end, self.age, read_age=self.lag, level=self.level
@@ -158,14 +165,15 @@
 
 
 class ToldTargets:
-    """Passes on what changes in the list of targets, without heartbeats.
+    """Filters the list of targets, so that only changes are served, no heartbeats.
 
-    Load pattern: each target writes its entry each 1.2 s, changed or not. Told on, that
-    was most of what a domain of 20 gateways read, over the link between two regions.
+    Each target writes its entry every 1.2 s, whether changed or not. When these
+    heartbeats were passed on, they made up most of what a domain of 20 gateways read
+    over the link between two regions.
 
     Attributes:
-        shared: What others are told.
-        entries: The entries that they have been told, by key.
+        shared: The records that are served to other processes.
+        entries: The entries that have been served, by key.
     """
 
     def __init__(self, shared: TopicRecords) -> None:
@@ -173,27 +181,27 @@
         self.entries: dict[str, ListedTarget] = {}
 
     def take(
-        self, batch: RecordBatch, changes: Sequence[TargetRecord], whole: bool
+        self, batch: RecordBatch, changes: Sequence[TargetRecord], is_snapshot: bool
     ) -> None:
-        """Take in records.
+        """Apply a batch, and serve those of its records that change an entry.
 
         Args:
             batch: The records.
-            changes: What each of them says.
-            whole: Whether they are the whole list.
+            changes: The decoded change of each record.
+            is_snapshot: Whether the records are the complete list.
         """
-        told = list(tell_rejected(batch.records, changes))
-        if whole:
-            self.shared.drop_unlisted({record.key for record in told}, batch.end)
-        news = [
+        stripped = list(strip_rejected(batch.records, changes))
+        if is_snapshot:
+            self.shared.remove_unlisted({record.key for record in stripped}, batch.end)
+        changed = [
             record
-            for record, change in zip(told, changes, strict=True)
-            if self._is_news(record, change)
+            for record, change in zip(stripped, changes, strict=True)
+            if self._is_change(record, change)
         ]
-        self.shared.take(replace(batch, records=news))
+        self.shared.take(replace(batch, records=changed))
 
-    def _is_news(self, record: KeyedRecord, change: TargetRecord) -> bool:
-        """Tell whether a record says anything that others have not been told."""
+    def _is_change(self, record: KeyedRecord, change: TargetRecord) -> bool:
+        """Check whether a record differs from the entry that is served."""
         known = self.shared.records.get(record.key)
         if known is not None and known.offset >= record.offset:
             return False
@@ -205,99 +213,109 @@
         return not is_listed or change.entry != before
 
 
-def tell_rejected(
+def strip_rejected(
     records: Iterable[KeyedRecord], changes: Iterable[TargetRecord]
 ) -> Iterator[KeyedRecord]:
-    """Yield records as others are told of them.
+    """Yield records, without their values where they were rejected.
 
-    Those that were rejected are told without their value, of which nobody has any use.
+    No process can use the value of a rejected record.
     """
-    rejected = {(item.target, item.offset) for item in changes if item.rejected}
+    rejected = {(change.target, change.offset) for change in changes if change.rejected}
     for record in records:
         if (record.key, record.offset) in rejected:
-            why = record.broken or "rejected"
-            yield replace(record, value=b"", broken=why)
+            reason = record.broken or "rejected"
+            yield replace(record, value=b"", broken=reason)
         else:
             yield record
 
 
 class RecordShare:
-    """Serves what this process has read.
+    """Serves the records that this process has read.
 
     Attributes:
         topics: The records of each topic.
-        changed: Notified when something was read.
-        is_receiving: Tells whether an answer of the store is on its way here.
-        is_lost: Tells whether the store cannot be read from here.
-        kept_seconds: Tells for how long removals are not believed here.
+        changed: Notified when records were read.
+        is_receiving: Returns whether this process is receiving an answer of the store.
+        is_lost: Returns whether this process cannot read the store.
+        removal_grace_seconds: Returns for how many seconds this process still ignores
+            removals.
     """
 
     def __init__(
         self,
         is_receiving: Callable[[Topic], bool] = lambda topic: False,
         is_lost: Callable[[Topic], bool] = lambda topic: False,
-        kept_seconds: Callable[[Topic], float] = lambda topic: 0.0,
+        removal_grace_seconds: Callable[[Topic], float] = lambda topic: 0.0,
     ) -> None:
         self.is_receiving = is_receiving
         self.is_lost = is_lost
-        self.kept_seconds = kept_seconds
+        self.removal_grace_seconds = removal_grace_seconds
         self.topics = {topic: TopicRecords() for topic in Topic}
         self.changed = Broadcast()
 
     def add_routes(self, router: HttpRouter) -> None:
-        """Serve records on a router."""
+        """Register the route that serves records."""
         router.add("GET", RECORDS_PATH, self.serve)
 
     def serve(self, request: HttpRequest) -> HttpReply:
-        """Answer with a topic's records, or 204 where nothing has been read."""
+        """Answer a request for a topic's records.
+
+        Returns:
+            The records; status 204 if no record has been read, 400 for an invalid
+            request.
+        """
         name, _, start = request.path.removeprefix(RECORDS_PATH).partition("/")
-        found = [topic for topic in Topic if topic.value == name]
+        matching = [topic for topic in Topic if topic.value == name]
         wait = parse_wait(request.query.get(WAIT_PARAMETER, "0"))
-        if not found or not start.isdecimal() or wait is None:
+        if not matching or not start.isdecimal() or wait is None:
             return HttpReply(400)
-        topic = self.topics[found[0]]
-        begun = boottime()
-        if not self.is_lost(found[0]):
-            # Who cannot read the store has no news: others are to be asked at once.
-            self._wait_for_news(topic, Offset(int(start)), wait)
-        receiving = self.is_receiving(found[0])
-        if not topic.records and not topic.heard_at and not receiving:
+        topic = self.topics[matching[0]]
+        started_at = boottime()
+        if not self.is_lost(matching[0]):
+            # A process that cannot read the store gets no new records. It answers
+            # without waiting, so that the client asks another process at once.
+            self._wait_for_records(topic, Offset(int(start)), wait)
+        receiving = self.is_receiving(matching[0])
+        if not topic.records and not topic.confirmed_at and not receiving:
             return HttpReply(204)
         shared = replace(
             topic.since(Offset(int(start))),
-            waited=boottime() - begun,
+            waited=boottime() - started_at,
             receiving=receiving,
-            lost=self.is_lost(found[0]),
-            kept=self.kept_seconds(found[0]),
+            lost=self.is_lost(matching[0]),
+            kept=self.removal_grace_seconds(matching[0]),
         )
-        return reply(encode_message(shared))
+        return build_reply(encode_message(shared))
 
-    def _wait_for_news(self, topic: TopicRecords, start: Offset, wait: float) -> None:
-        """Wait for a record, or until the store was heard again.
+    def _wait_for_records(
+        self, topic: TopicRecords, start: Offset, wait: float
+    ) -> None:
+        """Wait for a new record, or until the store confirms that there is none.
 
-        So what those below have is hardly older than what is here, on each level.
+        So the records of downstream processes are hardly older than those of this one,
+        on each level of the read tree.
         """
-        limit = boottime() + wait
-        heard_at = topic.heard_at
-        while topic.end <= start and topic.heard_at == heard_at:
-            left = min(limit - boottime(), STALE_SECONDS - topic.age)
-            if left <= 0.0:
+        deadline = boottime() + wait
+        confirmed_at = topic.confirmed_at
+        while topic.end <= start and topic.confirmed_at == confirmed_at:
+            remaining = min(deadline - boottime(), STALE_SECONDS - topic.age)
+            if remaining <= 0.0:
                 return
-            self.changed.wait(left)
+            self.changed.wait(remaining)
 
 
 def parse_wait(text: str) -> float | None:
-    """Return a wait in seconds, None where the text is none."""
+    """Return a wait in seconds, or None if the text is not a valid wait."""
     try:
         wait = float(text)
     except ValueError:
         return None
-    return wait if 0.0 <= wait <= LONGEST_WAIT_SECONDS else None
+    return wait if 0.0 <= wait <= MAX_WAIT_SECONDS else None
 
 
-def reply(body: bytes) -> HttpReply:
-    """Return an answer, compressed where that pays."""
-    if len(body) < COMPRESSED_BYTES:
+def build_reply(body: bytes) -> HttpReply:
+    """Return a reply with status 200, compressed if the body is large enough."""
+    if len(body) < COMPRESSION_THRESHOLD_BYTES:
         return HttpReply(200, body)
-    packed = compress(body, COMPRESSION_LEVEL, GZIP_WINDOW_BITS)
-    return HttpReply(200, packed, [("Content-Encoding", "gzip")])
+    compressed = compress(body, COMPRESSION_LEVEL, GZIP_WINDOW_BITS)
+    return HttpReply(200, compressed, [("Content-Encoding", "gzip")])
--- a/src/ridgecourse/cluster/target_events.py
+++ b/src/ridgecourse/cluster/target_events.py
@@ -1,4 +1,4 @@
-"""Tells by events what changed in the list of targets."""
+"""Emits events for changes in the list of targets."""
 
 from collections.abc import Mapping
 
@@ -7,22 +7,22 @@
 from ridgecourse.net.events import EventKind, EventStream
 
 
-def note_targets(
+def emit_target_events(
     events: EventStream,
     before: Mapping[TargetId, ListedTarget],
     after: Mapping[TargetId, ListedTarget],
 ) -> None:
-    """Emit an event for each target that came, changed or went.
+    """Emit an event for each target that was added, changed or removed.
 
     Args:
-        events: Where to.
-        before: The list as it was, by name.
-        after: The list as it is.
+        events: The event stream.
+        before: The previous list, by target.
+        after: The current list, by target.
     """
     for target in after.values():
         known = before.get(target.target)
-        place = target.life, target.leaving
-        if known is None or (known.life, known.leaving) != place:
+        state = target.life, target.leaving
+        if known is None or (known.life, known.leaving) != state:
             events.emit(
                 EventKind.TARGET_LISTED,
                 target=target.target,
--- a/src/ridgecourse/cluster/tree_reader.py
+++ b/src/ridgecourse/cluster/tree_reader.py
@@ -1,4 +1,4 @@
-"""Asks another process of the domain for one topic's records."""
+"""Reads one topic's records from another process of the failure domain."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Collection, Sequence
@@ -18,25 +18,28 @@
 from ridgecourse.net.record_source import RecordBatch, SourceUnavailable, Topic
 
 WAIT_SECONDS = 0.8
-"""Longest wait of one question: below what makes an answer stale."""
+"""Longest time for which a parent holds a request back until it has a new record. It is
+shorter than the age at which an answer is stale."""
 ANSWER_SECONDS = 0.3
-"""For the answer beyond that. A parent that is frozen is noticed after both together;
-then the next one is asked, which reads the store by then if it is the first now."""
-PATIENCE_SECONDS = 1.3
-"""After which nobody else is asked, but the store: with two that are frozen that is
-after 1.4 s, of the 2 s allowed."""
+"""Timeout for the answer in addition to that wait. A frozen parent is detected after
+both times together. Then the next process is asked, which by then reads the store
+itself if the frozen parent was the first of the read tree."""
+READ_TIMEOUT_SECONDS = 1.3
+"""Time after which no other process is asked and the store is read. With two frozen
+processes the store is read after 1.4 s, of the 2 s allowed."""
 SILENT_SECONDS = 5.0
-"""How long a process is left alone that did not answer: by then most of what freezes or
-cuts off a machine is over."""
+"""How long a process that did not answer is avoided. By then most freezes and
+network failures of a machine are over."""
 LATE_SECONDS = 0.5
-"""The same for one that had not heard of the store: its own parent may have been
-silent, and it reads the store by then. Left alone for longer, all would read it."""
+"""How long a process with stale records is avoided. The parent of that process may not
+have answered, and by then the process reads the store itself. If it were avoided for
+longer, all processes would read the store."""
 LATE_PAUSE_SECONDS = 0.2
-"""Between two questions to a parent that is late and answers at once."""
+"""Delay between two requests to a parent that has stale records and answers at once."""
 
 
 class Neighbours(ABC):
-    """Other processes, as one process knows them at the moment."""
+    """The other processes that a process knows at the moment."""
 
     @abstractmethod
     def known_gateways(self) -> Collection[Peer]:
@@ -44,30 +47,30 @@
 
     @abstractmethod
     def choose_parent(self, avoided: Collection[TargetName]) -> Peer | None:
-        """Return whom to read from; None for the store.
+        """Return the process to read from, or None for the store.
 
         Args:
-            avoided: Processes that are left alone for now.
+            avoided: Processes that are avoided at the moment.
         """
 
     @abstractmethod
     def record_peers(self) -> Sequence[str]:
-        """Return HOST:PORT for records of all that are known, the nearest first."""
+        """Return HOST:PORT for records of all known processes, the nearest first."""
 
 
 class TreeReader:
-    """Reads one topic from a parent in the domain's tree.
+    """Reads one topic from a parent in the domain's read tree.
 
     Attributes:
         topic: The topic.
-        neighbours: Who may be asked.
-        avoided: Processes left alone, and until when.
-        late: Of these, who had not heard of the store though it can read it, and
-            whether an answer was on its way there.
-        lost: Of these, who cannot read the store.
-        tries: When the store is tried while it cannot be read.
-        told_receiving: Whether an answer of the store is on its way to the parent.
-        parent: Whom the last read came from; None for the store.
+        neighbours: The other processes that may be asked.
+        avoided: Processes that are avoided, and until when.
+        stale_parents: Avoided processes that had stale records although they can read
+            the store, and whether they were receiving an answer of the store.
+        lost_parents: Avoided processes that cannot read the store.
+        tries: Decides when to try the store while it cannot be read.
+        parent_receiving: Whether the parent is receiving an answer of the store.
+        parent: The process that was read from last; None for the store.
     """
 
     def __init__(
@@ -82,99 +85,114 @@
         self.neighbours = neighbours
         self.events = events
         self.avoided: dict[TargetName, Seconds] = {}
-        self.late: dict[TargetName, bool] = {}
-        self.lost: set[TargetName] = set()
+        self.stale_parents: dict[TargetName, bool] = {}
+        self.lost_parents: set[TargetName] = set()
         self.tries = OutageTries(Random())
-        self.told_receiving = False
+        self.parent_receiving = False
         self.parent: Peer | None = None
 
     def ask(self, start: Offset) -> RecordBatch | None:
-        """Return what a parent tells; None where the store is to be read.
+        """Return the records of a parent, or None if the store is to be read.
 
         Raises:
-            SourceUnavailable: The parent is silent, there is no other one, and the
-                store is left to others.
+            SourceUnavailable: The parent does not answer, there is no other parent, and
+                reading the store is left to other processes.
         """
-        limit = boottime() + PATIENCE_SECONDS
+        deadline = boottime() + READ_TIMEOUT_SECONDS
         wait = WAIT_SECONDS
-        while (parent := self._find_parent()) is not None:
+        while (parent := self._select_parent()) is not None:
             is_last = parent.name in self.avoided
-            shared = self._ask(parent, start, wait)
-            # The next one may be frozen, and time has passed already.
+            shared = self._ask_parent(parent, start, wait)
+            # Further parents are asked without a wait: time has passed already, and the
+            # next parent may be frozen as well.
             wait = 0.0
             if shared is None:
                 if is_last:
-                    raise SourceUnavailable(f"no answer of {parent.name}")
-                if boottime() > limit:
+                    raise SourceUnavailable(f"no answer from {parent.name}")
+                if boottime() > deadline:
                     return None
                 continue
-            if self._is_good(shared):
+            if self._is_usable(shared):
                 return to_batch(shared)
-            if is_last or not self._pass_over(parent, shared):
+            if is_last or not self._try_bypass(parent, shared):
                 eventlet.sleep(LATE_PAUSE_SECONDS)
                 return to_batch(shared)
         return None
 
-    def _ask(self, parent: Peer, start: Offset, wait: float) -> SharedRecords | None:
-        """Return what a parent tells; None where it is silent."""
+    def _ask_parent(
+        self, parent: Peer, start: Offset, wait: float
+    ) -> SharedRecords | None:
+        """Return a parent's answer, or None if the parent gives no usable answer."""
         try:
             shared = ask_records(
                 self.http, parent.address, self.topic, start, ANSWER_SECONDS, wait
             )
         except SourceUnavailable as error:
-            self.told_receiving = False
+            self.parent_receiving = False
             self._avoid(parent, SILENT_SECONDS, str(error))
             return None
-        self.told_receiving = shared.receiving
+        self.parent_receiving = shared.receiving
         return shared
 
-    def _is_good(self, shared: SharedRecords) -> bool:
-        """Tell whether an answer need not be had from elsewhere."""
+    def _is_usable(self, shared: SharedRecords) -> bool:
+        """Check whether an answer can be used without asking another process."""
         if shared.lost and not shared.receiving and self.topic is Topic.TARGETS:
-            # It believes no removal while it is lost: kept to, it let a target that
-            # had left get requests for 2.07 s, of 2 s allowed.
+            # A parent that cannot read the store ignores removals. Relying on its list,
+            # gateways sent requests to a target for 2.07 s after the target had left;
+            # 2 s are allowed.
             return False
-        # What was long on its way need not be read from the store once more.
+        # Records that were delayed on the network are not read again from the store.
         return bool(shared.records) or shared.age <= STALE_SECONDS
 
-    def _pass_over(self, parent: Peer, shared: SharedRecords) -> bool:
-        """Leave a parent that is late alone, if not too many are; tell if it is."""
-        # Who cannot read the store, or has read nothing, never has news sooner. The
-        # first answer after an outage is news, and another reader would slow it down.
+    def _try_bypass(self, parent: Peer, shared: SharedRecords) -> bool:
+        """Avoid a parent with stale records, unless too many are avoided already.
+
+        Returns:
+            Whether the parent is avoided.
+        """
+        # A parent that cannot read the store, or has read nothing, never gets records
+        # earlier than this process. A parent that is receiving its first answer after
+        # an outage does, and another reader of the store would slow that answer down.
         is_lost = (shared.lost or not shared.end) and not shared.receiving
-        receiving = shared.receiving or any(self.late.values())
-        if not is_lost and not may_pass_over(len(self.late), shared.age, receiving):
+        receiving = shared.receiving or any(self.stale_parents.values())
+        if not is_lost and not may_pass_over(
+            len(self.stale_parents), shared.age, receiving
+        ):
             return False
         if is_lost:
-            self.lost.add(parent.name)
+            self.lost_parents.add(parent.name)
         else:
-            self.late[parent.name] = shared.receiving
-        why = f"heard of the store {shared.age:.2f} s ago"
-        self._avoid(parent, LATE_SECONDS, why)
+            self.stale_parents[parent.name] = shared.receiving
+        reason = f"heard of the store {shared.age:.2f} s ago"
+        self._avoid(parent, LATE_SECONDS, reason)
         return True
 
-    def _find_parent(self) -> Peer | None:
+    def _select_parent(self) -> Peer | None:
         now = boottime()
         self.avoided = {name: end for name, end in self.avoided.items() if end > now}
-        self.late = {n: state for n, state in self.late.items() if n in self.avoided}
-        self.lost &= self.avoided.keys()
-        # Where the whole domain seems to be cut off, asking all of it is of no use.
-        is_cut_off = self.tries.failing and len(self.lost) >= TRY_OFTEN
+        self.stale_parents = {
+            name: receiving
+            for name, receiving in self.stale_parents.items()
+            if name in self.avoided
+        }
+        self.lost_parents &= self.avoided.keys()
+        # If the whole domain seems to be cut off, asking all its processes is useless.
+        is_cut_off = self.tries.failing and len(self.lost_parents) >= TRY_OFTEN
         parent = None if is_cut_off else self.neighbours.choose_parent(self.avoided)
         if parent != self.parent:
             self.parent = parent
-            self.told_receiving = False
+            self.parent_receiving = False
             name = parent.name if parent else "store"
             self.events.emit(EventKind.READS_FROM, parent=name, topic=self.topic.value)
         return parent
 
-    def _avoid(self, parent: Peer, seconds: float, why: str) -> None:
-        """Leave a parent alone for a while."""
+    def _avoid(self, parent: Peer, seconds: float, reason: str) -> None:
+        """Avoid a parent for a number of seconds."""
         self.avoided[parent.name] = Seconds(boottime() + seconds)
         self.events.figures.count("parent_avoided")
         self.events.emit(
             EventKind.PARENT_AVOIDED,
             parent=parent.name,
             topic=self.topic.value,
-            why=why,
+            why=reason,
         )
--- a/src/ridgecourse/cluster/view.py
+++ b/src/ridgecourse/cluster/view.py
@@ -1,15 +1,15 @@
-"""What a gateway believes: configuration, versions of weights, targets."""
+"""The state that a process reads from the store: configuration, versions, targets."""
 
 from collections.abc import Iterable, Iterator, Sequence
 from typing import Any
 
 from returns.result import Failure
 
-from ridgecourse.cluster.bad_records import BadRecords
+from ridgecourse.cluster.bad_records import InvalidRecords
 from ridgecourse.cluster.decoder import RecordDecoder
-from ridgecourse.cluster.keeper import DecisionKeeper
+from ridgecourse.cluster.keeper import PinnedDecisionSource
 from ridgecourse.cluster.share import RecordShare, ToldTargets
-from ridgecourse.cluster.target_events import note_targets
+from ridgecourse.cluster.target_events import emit_target_events
 from ridgecourse.core.finding import Finding
 from ridgecourse.core.ids import ModelName, Offset, Seconds, ServiceName, WeightsVersion
 from ridgecourse.core.routes import RoutingConfig
@@ -28,7 +28,8 @@
 from ridgecourse.net.threads import spawn_loop
 
 RETURN_PAUSE_SECONDS = 0.4
-"""Between two reads of the list while targets that lapsed in an outage may return."""
+"""Interval between two reads of the list while targets whose entries expired during an
+outage may return."""
 
 
 class ClusterView:
@@ -36,20 +37,21 @@
 
     Attributes:
         config: The newest configuration; None before the first is known.
-        version_seconds: From a version's name until it is required.
+        version_seconds: Seconds from the naming of a version until it is required.
         histories: The named versions of each model.
         targets: The list of targets.
         listed: Whether the list has been read.
-        share: The records read, for other processes.
-        told_targets: The list as others are told it.
-        keeper: Keeps decisions that the store's newest records no longer tell.
+        share: Serves the records to other processes.
+        target_filter: Selects the changes of the list that are served to other
+            processes.
+        pinned_decisions: Pins decisions that are not the newest records of their keys.
         changed: Notified after each change.
     """
 
     def __init__(
         self,
         source: RecordSource,
-        keeper: DecisionKeeper,
+        pinned_decisions: PinnedDecisionSource,
         decoder: RecordDecoder,
         events: EventStream,
         version_seconds: float,
@@ -57,7 +59,7 @@
     ) -> None:
         self.decoder = decoder
         self.events = events
-        self.bad_records = BadRecords(events)
+        self.invalid_records = InvalidRecords(events)
         self.config: RoutingConfig | None = None
         self.version_seconds = version_seconds
         self.targets_pause = pace.targets_pause
@@ -65,17 +67,19 @@
         self.targets = TargetList()
         self.listed = False
         self.changed = Broadcast()
-        self.share = RecordShare(source.is_receiving, self._is_lost, self._kept_seconds)
-        self.told_targets = ToldTargets(self.share.topics[Topic.TARGETS])
-        self.keeper = keeper
-        keeper.recalled = self.take_kept
+        self.share = RecordShare(
+            source.is_receiving, self._is_lost, self._removal_grace_seconds
+        )
+        self.target_filter = ToldTargets(self.share.topics[Topic.TARGETS])
+        self.pinned_decisions = pinned_decisions
+        pinned_decisions.apply_pinned = self.apply_pinned
         self.decisions_reader = RecordFollower(
             source,
             Topic.DECISIONS,
             pace.decision_wait,
             0.0,
             self.take_decisions,
-            self._note_decisions_back,
+            self._record_decisions_restored,
             events,
             misses_none=True,
         )
@@ -85,53 +89,62 @@
             0.0,
             pace.targets_pause,
             self.take_targets,
-            self._note_targets_back,
+            self._record_targets_restored,
             events,
             told_pause=pace.told_pause,
         )
         self.threads: list = []
 
     def take_version_bound(self, seconds: float) -> None:
-        """Use another time from a version's name until it is required."""
+        """Set the time from the naming of a version until it is required.
+
+        Args:
+            seconds: The time, in seconds.
+        """
         self.version_seconds = seconds
         for history in self.histories.values():
             history.bound = seconds
 
     def start(self) -> None:
-        """Begin to read."""
-        self.keeper.start()
+        """Start reading the store."""
+        self.pinned_decisions.start()
         self.decisions_reader.start()
         self.targets_reader.start()
-        self.threads.append(spawn_loop(self._expire))
+        self.threads.append(spawn_loop(self._expire_targets))
 
     def close(self) -> None:
-        """Stop reading."""
+        """Stop reading the store."""
         self.decisions_reader.close()
         self.targets_reader.close()
-        self.keeper.close()
+        self.pinned_decisions.close()
         for thread in self.threads:
             thread.kill()
 
-    def _note_decisions_back(self, away: float) -> None:
+    def _record_decisions_restored(self, outage_seconds: float) -> None:
         self.targets.outage_ended(boottime())
-        self.events.emit(EventKind.LOG_BACK, topic="decisions", away=round(away, 2))
+        self.events.emit(
+            EventKind.LOG_BACK, topic="decisions", away=round(outage_seconds, 2)
+        )
 
-    def _note_targets_back(self, away: float) -> None:
-        """Note the end of an outage.
+    def _record_targets_restored(self, outage_seconds: float) -> None:
+        """Record that the store is available again.
 
-        The list is read often, so that its reader notices an outage first; the
-        read that waits for decisions may hang on a connection that died in it. One
-        that has noticed the outage as well is not given up: each copy that is begun
-        anew makes all others on the link later.
+        The list is read often, so its reader detects an outage first. The read that
+        waits for decisions may hang on a connection that broke during the outage, and
+        is restarted. A decisions reader that detected the outage as well is not
+        restarted, because each answer that is requested again delays all others on the
+        link.
         """
         self.targets.outage_ended(boottime())
-        self.events.emit(EventKind.LOG_BACK, topic="targets", away=round(away, 2))
+        self.events.emit(
+            EventKind.LOG_BACK, topic="targets", away=round(outage_seconds, 2)
+        )
         if self.decisions_reader.lost_since is None:
             self.decisions_reader.restart()
-        # Who returns is to be seen before those that do not are dropped.
+        # Targets that return must be read before the others are removed.
         self.targets_reader.pause = min(RETURN_PAUSE_SECONDS, self.targets_pause)
 
-    def _expire(self) -> None:
+    def _expire_targets(self) -> None:
         while True:
             self.changed.wait(0.25)
             if boottime() >= self.targets.kept_until:
@@ -142,7 +155,7 @@
                 )
 
     def lost_topics(self) -> Iterator[Topic]:
-        """Yield what cannot be read from the store now."""
+        """Yield the topics that cannot be read from the store at the moment."""
         for reader in (self.decisions_reader, self.targets_reader):
             if reader.lost_since is not None:
                 yield reader.topic
@@ -150,14 +163,20 @@
     def _is_lost(self, topic: Topic) -> bool:
         return topic in self.lost_topics()
 
-    def _kept_seconds(self, topic: Topic) -> float:
-        """Return for how long removals of a topic are not believed."""
+    def _removal_grace_seconds(self, topic: Topic) -> float:
+        """Return for how many seconds removals of a topic are still ignored."""
         if topic is not Topic.TARGETS:
             return 0.0
         return max(0.0, self.targets.kept_until - boottime())
 
     def take(self, topic: Topic, batch: RecordBatch, whole: bool) -> None:
-        """Take in records of a topic, from the store or another process."""
+        """Apply records of a topic, from the store or from another process.
+
+        Args:
+            topic: The topic.
+            batch: The records.
+            whole: Whether the records are the newest ones of all keys.
+        """
         if topic is Topic.DECISIONS:
             self.take_decisions(batch, whole)
         else:
@@ -165,79 +184,91 @@
 
     # Decisions.
 
-    def take_decisions(self, batch: RecordBatch, whole: bool) -> None:
-        """Take in operators' decisions; an older one never replaces a newer."""
+    def take_decisions(self, batch: RecordBatch, is_snapshot: bool) -> None:
+        """Apply operators' decisions; a lower revision never replaces a higher one.
+
+        Args:
+            batch: The records of the decisions.
+            is_snapshot: Whether the records are the newest ones of all keys.
+        """
         shared = self.share.topics[Topic.DECISIONS]
-        shared.note_way(batch)
-        named_at = self._date_names(batch)
+        shared.record_origin(batch)
+        named_at = self._earliest_named_at(batch)
         for record in batch.records:
             known = shared.records.get(record.key)
-            if not self._take_decision(record, named_at):
+            if not self._apply_decision(record, named_at):
                 continue
             if known is not None and known.offset >= record.offset:
-                # It was passed over: those who read from here and who start did so too.
+                # This reader had skipped the record, so downstream processes and
+                # processes that start have not received it either.
                 shared.put_late(record)
-                self.keeper.keep(record)
+                self.pinned_decisions.keep(record)
             else:
                 shared.put(record)
-        shared.note_read(batch)
+        shared.record_progress(batch)
         self.share.changed.notify()
         self.changed.notify()
 
-    def take_kept(self, records: Sequence[KeyedRecord]) -> None:
-        """Take in decisions that were kept, where they are higher than those known."""
+    def apply_pinned(self, records: Sequence[KeyedRecord]) -> None:
+        """Apply pinned decisions whose revisions are higher than the known ones."""
         shared = self.share.topics[Topic.DECISIONS]
         for record in records:
             known = shared.records.get(record.key)
             offset = known.offset if known else Offset(0)
             placed = KeyedRecord(record.key, record.value, offset)
-            if self._take_decision(placed, None):
+            if self._apply_decision(placed, None):
                 shared.put_late(placed)
         self.changed.notify()
 
-    def _date_names(self, batch: RecordBatch) -> Seconds | None:
-        """Return when versions in a batch were named at the earliest.
+    def _earliest_named_at(self, batch: RecordBatch) -> Seconds | None:
+        """Return the earliest time at which versions in a batch may have been named.
 
-        That is when the store was last heard of without them. Dated at their arrival,
-        behind a large configuration, they were required 0.3 s too late.
+        This is the last time at which the store confirmed its records without these
+        versions. When versions were dated at their arrival, behind a large
+        configuration, they were required 0.3 s too late.
 
-        None for what was named before this process heard of the store: that may be
-        long ago.
+        Returns:
+            The time, or None if the versions were named before this process first read
+            the store, which may be long ago.
         """
         since = batch.since
         if since is None:
-            since = self.share.topics[Topic.DECISIONS].heard_at
+            since = self.share.topics[Topic.DECISIONS].confirmed_at
         return since or None
 
-    def _take_decision(self, record: KeyedRecord, named_at: Seconds | None) -> bool:
-        """Take in one decision; tell whether it is in force now.
+    def _apply_decision(self, record: KeyedRecord, named_at: Seconds | None) -> bool:
+        """Apply one decision.
 
         Args:
-            record: The decision.
-            named_at: When it was taken at the earliest; None if that is not known.
+            record: The record of the decision.
+            named_at: The earliest time of the decision; None if not known.
+
+        Returns:
+            Whether the decision came into force.
         """
         decoded = self.decoder.decision(record)
         if isinstance(decoded, Failure):
-            for finding in decoded.failure():
-                self.bad_records.note(Topic.DECISIONS, finding)
-            self._keep_known(record)
+            for problem in decoded.failure():
+                self.invalid_records.record(Topic.DECISIONS, problem)
+            self._pin_known(record)
             return False
         decision = decoded.unwrap()
         if isinstance(decision, RoutingConfig):
-            newer = self._take_config(decision, record.offset)
+            is_newer = self._apply_config(decision, record.offset)
         elif isinstance(decision, NamedVersion):
-            newer = self._take_version(decision, record.offset, named_at)
+            is_newer = self._apply_version(decision, record.offset, named_at)
         else:
             return False
-        if not newer:
-            self._note_outdated(record, decision.version)
-        return newer
+        if not is_newer:
+            self._record_outdated(record, decision.version)
+        return is_newer
 
-    def _take_config(self, config: RoutingConfig, offset: int) -> bool:
+    def _apply_config(self, config: RoutingConfig, offset: int) -> bool:
         if self.config is not None and config.version <= self.config.version:
             return False
         if self.config is not None:
-            # What was read at the start may have held for long.
+            # The configuration that was read at the start may be long in force, so the
+            # lag is measured for later ones only.
             shared = self.share.topics[Topic.DECISIONS]
             self.events.figures.observe("decision_lag", shared.lag)
         self.config = config
@@ -245,11 +276,11 @@
             EventKind.CONFIG_FOLDED,
             offset=offset,
             version=str(config.version),
-            **self._way(),
+            **self._propagation_fields(),
         )
         return True
 
-    def _take_version(
+    def _apply_version(
         self, named: NamedVersion, offset: int, named_at: Seconds | None
     ) -> bool:
         history = self.history(named.model)
@@ -262,12 +293,12 @@
             version=str(named.version),
             model=named.model,
             age=None if named_at is None else round(now - named_at, 3),
-            **self._way(),
+            **self._propagation_fields(),
         )
         return True
 
-    def _way(self) -> dict[str, Any]:
-        """Return how the newest decision came here, for an event."""
+    def _propagation_fields(self) -> dict[str, Any]:
+        """Return event fields that describe how the newest decision arrived."""
         shared = self.share.topics[Topic.DECISIONS]
         return {
             "unheard": round(self.decisions_reader.unheard, 3),
@@ -276,51 +307,52 @@
         }
 
     def date_versions(self, ages: Iterable[VersionAge], asked_at: Seconds) -> None:
-        """Take in since when versions are named, as another process tells.
+        """Apply the ages of named versions that another process reported.
 
         Args:
-            ages: What it tells.
-            asked_at: When it was asked: it reckoned the ages no earlier.
+            ages: The reported ages.
+            asked_at: When the process was asked; it computed the ages no earlier.
         """
-        for told in ages:
-            named_at = Seconds(asked_at - told.age)
-            if self.history(told.model).date(told.version, named_at):
+        for version_age in ages:
+            named_at = Seconds(asked_at - version_age.age)
+            if self.history(version_age.model).date(version_age.version, named_at):
                 self.events.emit(
                     EventKind.VERSION_DATED,
-                    version=str(told.version),
-                    model=told.model,
+                    version=str(version_age.version),
+                    model=version_age.model,
                     age=round(boottime() - named_at, 2),
                 )
 
     def version_ages(self) -> Iterator[VersionAge]:
-        """Yield the versions of which it is known when they were named."""
+        """Yield the ages of the versions whose naming times are known."""
         for model, history in self.histories.items():
             yield from history.ages(model, boottime())
 
-    def _note_outdated(self, record: KeyedRecord, version: int) -> None:
-        """Note a record that is no newer than what is believed."""
+    def _record_outdated(self, record: KeyedRecord, version: int) -> None:
+        """Record that a decision is no newer than the one in force."""
         self.events.emit(
             EventKind.DECISION_OUTDATED,
             offset=record.offset,
             version=str(version),
             key=record.key,
         )
-        self._keep_known(record)
+        self._pin_known(record)
 
-    def _keep_known(self, record: KeyedRecord) -> None:
-        """Keep what holds elsewhere than under the key of a record that does not.
+    def _pin_known(self, record: KeyedRecord) -> None:
+        """Pin the decision in force if the store has a newer record of its key.
 
-        Where that is the newest of its key, who starts would believe it, or nothing.
+        Such a record is not in force itself. If it is the newest one of its key, a
+        starting process would otherwise apply it, or have no decision at all.
         """
         known = self.share.topics[Topic.DECISIONS].records.get(record.key)
         if known is None or known.value == record.value:
             return
         if known.offset < record.offset:
-            self.keeper.keep(known)
+            self.pinned_decisions.keep(known)
 
     @property
     def decisions_age(self) -> float:
-        """Seconds since the store told that no decision is newer."""
+        """Seconds since the store confirmed that there is no newer decision."""
         return self.share.topics[Topic.DECISIONS].age
 
     def history(self, model: ModelName) -> VersionHistory:
@@ -330,36 +362,43 @@
         return self.histories[model]
 
     def wanted_version(self, model: ModelName) -> WeightsVersion:
-        """Return the version of a model that is to be served."""
+        """Return the newest named version of a model, which is to be served."""
         return self.history(model).newest
 
     # Targets.
 
-    def take_targets(self, batch: RecordBatch, whole: bool) -> None:
-        """Take in changes of the list of targets, or the whole of it."""
-        records, findings = self.decoder.targets(batch.records)
-        self.told_targets.take(batch, records, whole)
+    def take_targets(self, batch: RecordBatch, is_snapshot: bool) -> None:
+        """Apply changes of the list of targets, or the complete list.
+
+        Args:
+            batch: The records.
+            is_snapshot: Whether the records are the complete list.
+        """
+        records, problems = self.decoder.targets(batch.records)
+        self.target_filter.take(batch, records, is_snapshot)
         self.share.changed.notify()
-        for finding in [*findings, *self._find_unnamed(records)]:
-            self.bad_records.note(Topic.TARGETS, finding)
+        for problem in [*problems, *self._find_unknown_services(records)]:
+            self.invalid_records.record(Topic.TARGETS, problem)
         before = dict(self.targets.targets)
         now = boottime()
         if self.decisions_reader.lost_since is not None:
-            # The store was away too shortly for this reader to notice.
+            # The outage was too short for the reader of the list to detect it.
             self.targets.outage_ended(now)
         self.targets.keep_removed(Seconds(now + batch.kept))
-        if whole:
+        if is_snapshot:
             self.targets.replace(records, now)
         else:
             self.targets.apply(records, now)
         self.listed = True
-        note_targets(self.events, before, self.targets.targets)
+        emit_target_events(self.events, before, self.targets.targets)
         self.changed.notify()
 
-    def _find_unnamed(self, records: Iterable[TargetRecord]) -> Iterator[Finding]:
-        """Yield entries of services that the configuration does not name.
+    def _find_unknown_services(
+        self, records: Iterable[TargetRecord]
+    ) -> Iterator[Finding]:
+        """Yield a problem for each entry whose service the configuration does not name.
 
-        They stay listed, for the next configuration may name the service.
+        These entries stay listed, because the next configuration may name the service.
         """
         known = self.config.services if self.config else None
         for entry in [record.entry for record in records]:
@@ -367,9 +406,9 @@
                 yield Finding(entry.target, f"unknown service {entry.service}")
 
     def serving(self, service: ServiceName) -> Iterator[ListedTarget]:
-        """Yield the targets of a service that may get requests."""
+        """Yield the targets of a service to which requests may be sent."""
         return self.targets.of_service(service)
 
     def ready(self) -> bool:
-        """Tell whether requests can be served."""
+        """Check whether requests can be served."""
         return self.config is not None and self.listed
