--- a/src/ridgecourse/wire/codec.py
+++ b/src/ridgecourse/wire/codec.py
@@ -1,7 +1,7 @@
 """CBOR codec of typed messages.
 
-Everything that comes in is checked against its type before use; what does not
-fit is reported as a DecodeFailure, never raised out of a loop.
+Each received message is checked against its type before use. An invalid message is
+returned as a DecodeFailure and not raised, so that it cannot end a receiving loop.
 """
 
 from typing import Any
@@ -12,11 +12,11 @@
 
 
 class DecodeFailure(Exception):
-    """Bytes that are no message of the expected type."""
+    """The received bytes are not a message of the expected type."""
 
 
 def encode_message(message: Any) -> bytes:
-    """Return a typed message as CBOR."""
+    """Encode a typed message as CBOR."""
     return cbor2.dumps(to_builtins(message, builtin_types=(bytes,)))
 
 
@@ -24,11 +24,11 @@
     """Decode CBOR into a typed message.
 
     Args:
-        data: The bytes as received.
-        expected: A Struct class or a union of tagged ones.
+        data: The received bytes.
+        expected: A Struct class, or a union of tagged Struct classes.
 
     Returns:
-        The message, or why the bytes are none.
+        The message, or the reason why the bytes do not hold such a message.
     """
     try:
         raw = cbor2.loads(data)
@@ -36,6 +36,6 @@
     except ValidationError as error:
         return Failure(DecodeFailure(str(error)))
     except (cbor2.CBORDecodeError, ValueError, TypeError, RecursionError) as error:
-        return Failure(DecodeFailure(f"no CBOR: {error}"))
+        return Failure(DecodeFailure(f"invalid CBOR: {error}"))
     except (OverflowError, MemoryError, AttributeError, OSError) as error:
-        return Failure(DecodeFailure(f"no CBOR of ours: {error}"))
+        return Failure(DecodeFailure(f"unsupported CBOR: {error}"))
--- a/src/ridgecourse/wire/control.py
+++ b/src/ridgecourse/wire/control.py
@@ -19,7 +19,7 @@
 
 PROTOCOL_VERSION = 1
 MAX_CONTROL_BYTES = 16 * 1024 * 1024
-"""Largest control message: a snapshot of a full-sized configuration fits."""
+"""Largest control message. A snapshot of a configuration of the full size fits."""
 
 
 class ControlMessage(Struct, frozen=True, tag_field="type", forbid_unknown_fields=True):
@@ -27,7 +27,7 @@
 
 
 class Follow(ControlMessage, frozen=True, tag="follow"):
-    """Asks an agent to tell what it holds of a version, now and from then on."""
+    """Asks an agent to report which chunks of a version it holds, and later changes."""
 
     protocol: int
     target: TargetName
@@ -36,11 +36,13 @@
 
 
 class Holds(ControlMessage, frozen=True, tag="holds"):
-    """Chunks that the sender newly holds, or newly knows to be held.
+    """Chunks that the sender has newly received or newly seen in the fleet.
 
     Attributes:
-        chunks: Indexes into the manifest's distinct chunks that it holds.
-        seen: Indexes of chunks that someone of the fleet is known to hold.
+        root: Root digest of the version.
+        chunks: Chunks that the sender holds, as indexes into the manifest's distinct
+            chunks.
+        seen: Chunks that a member of the fleet is known to hold, as such indexes.
     """
 
     root: RootDigest
@@ -49,16 +51,16 @@
 
 
 class Watch(ControlMessage, frozen=True, tag="watch"):
-    """Asks a loader to tell its engine's load, now and from then on.
+    """Asks a loader to report its engine's load, and later changes.
 
     Attributes:
         protocol: Version of this protocol.
         process: The sender.
-        near: Whether it stands in the loader's region.
-        gateway: Where the sender takes part in the exchange of weights; None
-            once it is about to stop.
-        reports_to: HOST:PORT where it takes reports as datagrams.
-        hears_gateways: Whether it is to be told which gateways watch the loader.
+        near: Whether the sender is in the loader's region.
+        gateway: The sender's addresses in the exchange of weights; None once the sender
+            is about to stop.
+        reports_to: HOST:PORT where the sender receives reports as datagrams.
+        hears_gateways: Whether the loader is to report which gateways watch it.
     """
 
     protocol: int
@@ -70,11 +72,12 @@
 
 
 class EngineReport(ControlMessage, frozen=True, tag="engine"):
-    """An engine's load, in a datagram on change and as a heartbeat on the channel.
+    """An engine's load, sent as a datagram on each change and as a channel heartbeat.
 
     Attributes:
         status: The load.
-        number: Rises with each report of one life of a loader; 0 on the channel.
+        number: Sequence number, which rises with each report of an incarnation of a
+            loader; 0 on the channel.
     """
 
     status: EngineStatus
@@ -82,12 +85,14 @@
 
 
 class GatewaysChanged(ControlMessage, frozen=True, tag="gateways"):
-    """Which gateways watch the sender, as a difference: so they learn of each other.
+    """Changes of the set of gateways that watch the sender.
+
+    Gateways discover each other through these messages.
 
     Attributes:
-        came: Those that the receiver has not been told of on this connection, or not
-            as they are now.
-        gone: Those that watch no more.
+        came: Gateways that are new, or have changed, since they were last reported on
+            this connection.
+        gone: Gateways that have stopped watching.
     """
 
     came: list[Peer]
@@ -95,18 +100,19 @@
 
 
 class Named(ControlMessage, frozen=True, tag="named"):
-    """Since when versions of weights are named, for gateways that start."""
+    """The ages of the named versions of weights, for gateways that start."""
 
     versions: list[VersionAge]
 
 
 class CrashNews(ControlMessage, frozen=True, tag="crash-news"):
-    """What a gateway knows of requests under which engines ended, in a datagram.
+    """A gateway's crash reports on requests during which engines ended, as a datagram.
 
     Attributes:
         process: The sender.
-        suspects: What it tells of each.
-        reply: Whether it answers a query; then all it knows follows.
+        suspects: The report on each request.
+        reply: Whether the message ends the answer to a query. All reports of the sender
+            are sent before it.
     """
 
     process: ProcessName
@@ -115,17 +121,17 @@
 
 
 class CrashQuery(ControlMessage, frozen=True, tag="crash-query"):
-    """Asks a gateway for what it knows of such requests.
+    """Asks a gateway for all its crash reports.
 
     Attributes:
-        reply_to: HOST:PORT where the answer is taken.
+        reply_to: HOST:PORT where the sender receives the answer.
     """
 
     reply_to: str
 
 
 class EngineLimitNews(ControlMessage, frozen=True, tag="limits"):
-    """Limits that engines named, in a datagram."""
+    """Limits that engines stated, as a datagram."""
 
     limits: list[LimitNews]
 
--- a/src/ridgecourse/wire/entry_control.py
+++ b/src/ridgecourse/wire/entry_control.py
@@ -13,7 +13,7 @@
     Attributes:
         protocol: Version of this protocol.
         process: The sender.
-        incarnation: The sender's life.
+        incarnation: The sender's incarnation.
         offset: Offset of the sender's configuration.
     """
 
@@ -24,11 +24,11 @@
 
 
 class ConfigRecords(ControlMessage, frozen=True, tag="records"):
-    """Change records as they stand in the log.
+    """Change records, as stored in the log.
 
     Attributes:
-        first: Offset of the first one.
-        records: The records' bytes.
+        first: Offset of the first record.
+        records: The encoded records.
         clock: The sender's Lamport clock.
     """
 
@@ -38,25 +38,26 @@
 
 
 class ConfigFull(ControlMessage, frozen=True, tag="full"):
-    """The whole configuration, for a receiver too far behind."""
+    """The complete configuration, for a receiver that lags too far behind."""
 
     snapshot: ConfigSnapshot
     clock: int = 0
 
 
 class AgentReport(ControlMessage, frozen=True, tag="report"):
-    """An agent's state, sent to its entries on change and as a heartbeat.
+    """An agent's state, sent to its entries on each change and as a heartbeat.
 
     Attributes:
-        offset: Offset of its configuration.
-        in_flight: Requests at the target, waiting ones included.
-        slots: Requests that the target runs at once.
-        ready: Whether it takes requests.
-        serving: Root digest of the version its engine serves.
-        phase: Phase of its rollout.
-        bytes_held: Bytes it holds of the version being placed.
-        bytes_total: Bytes of that version.
-        error: What keeps the rollout from going on.
+        offset: Offset of the agent's configuration.
+        in_flight: Number of requests at the target, including waiting ones.
+        slots: Number of requests that the target runs concurrently.
+        ready: Whether the agent accepts requests.
+        serving: Root digest of the version that the engine serves.
+        phase: Phase of the rollout.
+        bytes_held: Bytes of the version being placed that the agent holds.
+        bytes_total: Total bytes of that version.
+        error: The error that blocks the rollout; empty for none.
+        clock: The sender's Lamport clock.
     """
 
     offset: int
@@ -72,7 +73,7 @@
 
 
 class WantRecords(ControlMessage, frozen=True, tag="want"):
-    """Asks the other side for its configuration above an offset."""
+    """Asks the other side for its change records above an offset."""
 
     above: int
 
@@ -83,12 +84,12 @@
 
 
 class TargetReport(Struct, frozen=True, forbid_unknown_fields=True):
-    """An agent's report as one entry knows it.
+    """The newest report of an agent that an entry has received.
 
     Attributes:
         target: The agent's target.
-        report: The newest report.
-        age_ms: Its age when this was sent, in milliseconds.
+        report: The report.
+        age_ms: Age of the report when this message was sent, in milliseconds.
     """
 
     target: TargetName
--- a/src/ridgecourse/wire/request.py
+++ b/src/ridgecourse/wire/request.py
@@ -1,4 +1,4 @@
-"""Requests between entry and agent, and the events of a streamed answer."""
+"""Requests that entries send to agents, and the events of a streamed answer."""
 
 from enum import Enum
 
@@ -31,22 +31,22 @@
 
 
 class Work(Struct, frozen=True, forbid_unknown_fields=True):
-    """A request as an entry hands it to an agent.
+    """A request that an entry sends to an agent.
 
     Attributes:
-        request_id: The same for all tries of one request.
-        account: Whose share it draws on.
-        priority: Of the account.
-        weight: Of the account.
-        budget_ms: Time left until the caller gives up; spans, not times of
-            day, are sent, since clocks differ.
-        body: The caller's body.
-        start_at: Number of answer events the caller already has.
-        version: Root digest that must answer; empty for any.
-        once: Whether it must not be started a second time.
-        key: The caller's idempotency key, if any.
-        incarnation: The life of the agent that must run it; required with a
-            key.
+        request_id: Identity of the request, the same for all its attempts.
+        account: Client account whose share the request uses.
+        priority: Priority of the account.
+        weight: Weight of the account.
+        budget_ms: Time until the client timeout, in milliseconds. A duration is sent
+            instead of a time of day, because clocks differ.
+        body: The body of the client's request.
+        start_at: Number of answer events that the client has received already.
+        version: Root digest of the version that must answer; empty for any.
+        once: Whether the request must not be started a second time.
+        key: The client's idempotency key, if any.
+        incarnation: The incarnation of the agent that must run the request; required
+            with a key.
         clock: The sender's Lamport clock.
     """
 
@@ -65,21 +65,21 @@
 
 
 class FenceRequest(Struct, frozen=True, forbid_unknown_fields=True):
-    """Asks an agent never to start a request, if it has not yet."""
+    """Asks an agent never to start a request that it has not started yet."""
 
     request_id: RequestId
     incarnation: Incarnation
 
 
 class FenceReply(Struct, frozen=True, forbid_unknown_fields=True):
-    """What became of the fenced request.
+    """The state of the fenced request.
 
     Attributes:
-        known: False if another life of the agent was meant, so that nothing
-            can be said.
-        started: Whether it was started before the fence.
-        answer: Its whole answer, if completed and kept.
-        version: Root digest that answered.
+        known: False if the fence was for another incarnation of the agent, so that the
+            state of the request is unknown.
+        started: Whether the request was started before the fence.
+        answer: The complete answer, if the request was completed and its answer stored.
+        version: Root digest of the version that answered.
     """
 
     known: bool
@@ -89,7 +89,10 @@
 
 
 class Identity(Struct, frozen=True, forbid_unknown_fields=True):
-    """Tells an entry without a control connection which life an agent is in."""
+    """The current incarnation of an agent.
+
+    An entry without a control connection to the agent asks for it.
+    """
 
     incarnation: Incarnation
 
@@ -107,11 +110,11 @@
     Attributes:
         seq: Position in the answer, from 0.
         token: The token's text.
-        end: Set in the last line only.
-        count: Tokens of the whole answer, in the last line.
-        version: Root digest that made the answer, in the last line.
-        outcome: What the caller is told, in the last line.
-        reason: Why the answer is not whole.
+        end: How the answer ended; set in the last line only.
+        count: Number of tokens of the complete answer, in the last line.
+        version: Root digest of the version that answered, in the last line.
+        outcome: Outcome that the client receives, in the last line.
+        reason: Why the answer is incomplete.
     """
 
     seq: int = -1
