--- a/src/ridgecourse/cluster/domain_source.py
+++ b/src/ridgecourse/cluster/domain_source.py
@@ -201,7 +201,7 @@
     def _read_from_parent(self, topic: Topic, start: Offset) -> RecordBatch | None:
         """Return a parent's records, or None if the store is to be read."""
         reader = self.readers.get(topic)
-        return reader.ask(start) if reader is not None else None
+        return reader.read(start) if reader is not None else None
 
     def _read_from_first_source(
         self, topic: Topic, start: Offset
@@ -228,11 +228,11 @@
                 # The process may have stopped or may be starting itself; then another
                 # process is asked.
                 address = self.first_sources[topic]
-                shared = ask_records(
+                response = ask_records(
                     self.http, address, topic, start, ANSWER_SECONDS, WAIT_SECONDS
                 )
-                if shared.receiving or shared.age <= STALE_SECONDS:
-                    return to_batch(shared)
+                if response.receiving or response.age <= STALE_SECONDS:
+                    return to_batch(response)
             eventlet.sleep(SEED_RETRY_SECONDS)
             self.first_sources[topic] = self._choose_address(attempt)
         del self.first_sources[topic]
@@ -254,16 +254,16 @@
             address = self._choose_address(attempt)
             with suppress(SourceUnavailable):
                 # The process may be starting as well.
-                shared = ask_records(
+                response = ask_records(
                     self.http, address, topic, Offset(0), ANSWER_SECONDS
                 )
-                if shared.age <= STALE_SECONDS:
+                if response.age <= STALE_SECONDS:
                     self.first_sources[topic] = address
                     self.events.emit(
                         EventKind.READS_FROM, parent=address, topic=topic.value
                     )
-                    return to_batch(shared)
-                if shared.receiving:
+                    return to_batch(response)
+                if response.receiving:
                     deadline = min(
                         receiving_deadline, boottime() + SEED_TIMEOUT_SECONDS
                     )
--- a/src/ridgecourse/cluster/peer_records.py
+++ b/src/ridgecourse/cluster/peer_records.py
@@ -49,27 +49,27 @@
     decoded = decode_message(data, SharedRecords)
     if isinstance(decoded, Failure):
         raise SourceUnavailable(f"{address}: {decoded.failure()}")
-    shared = decoded.unwrap()
+    response = decoded.unwrap()
     # The network delay makes an answer older than the age it states. Without adding the
     # delay, a gateway that lagged behind on a slow link took its configuration for
     # current and rejected requests that a newer configuration allows.
-    network_delay = max(0.0, boottime() - sent_at - shared.waited)
+    network_delay = max(0.0, boottime() - sent_at - response.waited)
     return replace(
-        shared,
-        age=shared.age + network_delay,
-        read_age=shared.read_age + network_delay,
+        response,
+        age=response.age + network_delay,
+        read_age=response.read_age + network_delay,
     )
 
 
-def to_batch(shared: SharedRecords) -> RecordBatch:
+def to_batch(response: SharedRecords) -> RecordBatch:
     """Return an answer that was received just now as a batch of records."""
     now = boottime()
     return RecordBatch(
-        shared.records,
-        shared.end,
-        Seconds(now - shared.age),
+        response.records,
+        response.end,
+        Seconds(now - response.age),
         told=True,
-        kept=shared.kept,
-        read_at=Seconds(now - shared.read_age),
-        level=shared.level + 1,
+        kept=response.kept,
+        read_at=Seconds(now - response.read_age),
+        level=response.level + 1,
     )
--- a/src/ridgecourse/cluster/relay.py
+++ b/src/ridgecourse/cluster/relay.py
@@ -22,7 +22,7 @@
 allowed in that case."""
 PEERS_PER_ROUND = 2
 """Processes asked in each round, because one of them may be cut off as well."""
-ANSWER_SECONDS = 0.5
+ANSWER_TIMEOUT_SECONDS = 0.5
 
 
 class RecordRelay:
@@ -71,19 +71,21 @@
     def _ask_peer(self, topic: Topic, address: str) -> None:
         start = self.view.share.topics[topic].end
         try:
-            shared = ask_records(self.http, address, topic, start, ANSWER_SECONDS)
+            response = ask_records(
+                self.http, address, topic, start, ANSWER_TIMEOUT_SECONDS
+            )
         except SourceUnavailable:
             # The peer may be cut off as well, or stopped; the next peer is asked.
             self.events.figures.count("relay_unanswered")
             return
-        if not shared.records and (topic is Topic.TARGETS or not shared.end):
+        if not response.records and (topic is Topic.TARGETS or not response.end):
             return
         self.events.figures.count("relay_answered")
         self.events.emit(
             EventKind.RECORDS_FROM_PEER,
-            offset=shared.end,
+            offset=response.end,
             topic=topic.value,
-            records=len(shared.records),
+            records=len(response.records),
             peer=address,
         )
-        self.view.take(topic, to_batch(shared), False)
+        self.view.take(topic, to_batch(response), False)
--- a/src/ridgecourse/cluster/share.py
+++ b/src/ridgecourse/cluster/share.py
@@ -172,12 +172,12 @@
     over the link between two regions.
 
     Attributes:
-        shared: The records that are served to other processes.
+        topic_records: The records that are served to other processes.
         entries: The entries that have been served, by key.
     """
 
-    def __init__(self, shared: TopicRecords) -> None:
-        self.shared = shared
+    def __init__(self, topic_records: TopicRecords) -> None:
+        self.topic_records = topic_records
         self.entries: dict[str, ListedTarget] = {}
 
     def take(
@@ -192,17 +192,19 @@
         """
         stripped = list(strip_rejected(batch.records, changes))
         if is_snapshot:
-            self.shared.remove_unlisted({record.key for record in stripped}, batch.end)
+            self.topic_records.remove_unlisted(
+                {record.key for record in stripped}, batch.end
+            )
         changed = [
             record
             for record, change in zip(stripped, changes, strict=True)
             if self._is_change(record, change)
         ]
-        self.shared.take(replace(batch, records=changed))
+        self.topic_records.take(replace(batch, records=changed))
 
     def _is_change(self, record: KeyedRecord, change: TargetRecord) -> bool:
         """Check whether a record differs from the entry that is served."""
-        known = self.shared.records.get(record.key)
+        known = self.topic_records.records.get(record.key)
         if known is not None and known.offset >= record.offset:
             return False
         before = self.entries.pop(record.key, None)
@@ -278,14 +280,14 @@
         receiving = self.is_receiving(matching[0])
         if not topic.records and not topic.confirmed_at and not receiving:
             return HttpReply(204)
-        shared = replace(
+        response = replace(
             topic.since(Offset(int(start))),
             waited=boottime() - started_at,
             receiving=receiving,
             lost=self.is_lost(matching[0]),
             kept=self.removal_grace_seconds(matching[0]),
         )
-        return build_reply(encode_message(shared))
+        return build_reply(encode_message(response))
 
     def _wait_for_records(
         self, topic: TopicRecords, start: Offset, wait: float
--- a/src/ridgecourse/cluster/tree_reader.py
+++ b/src/ridgecourse/cluster/tree_reader.py
@@ -34,7 +34,7 @@
 """How long a process with stale records is avoided. The parent of that process may not
 have answered, and by then the process reads the store itself. If it were avoided for
 longer, all processes would read the store."""
-LATE_PAUSE_SECONDS = 0.2
+STALE_RETRY_SECONDS = 0.2
 """Delay between two requests to a parent that has stale records and answers at once."""
 
 
@@ -91,7 +91,7 @@
         self.parent_receiving = False
         self.parent: Peer | None = None
 
-    def ask(self, start: Offset) -> RecordBatch | None:
+    def read(self, start: Offset) -> RecordBatch | None:
         """Return the records of a parent, or None if the store is to be read.
 
         Raises:
@@ -102,21 +102,21 @@
         wait = WAIT_SECONDS
         while (parent := self._select_parent()) is not None:
             is_last = parent.name in self.avoided
-            shared = self._ask_parent(parent, start, wait)
+            response = self._ask_parent(parent, start, wait)
             # Further parents are asked without a wait: time has passed already, and the
             # next parent may be frozen as well.
             wait = 0.0
-            if shared is None:
+            if response is None:
                 if is_last:
                     raise SourceUnavailable(f"no answer from {parent.name}")
                 if boottime() > deadline:
                     return None
                 continue
-            if self._is_usable(shared):
-                return to_batch(shared)
-            if is_last or not self._try_bypass(parent, shared):
-                eventlet.sleep(LATE_PAUSE_SECONDS)
-                return to_batch(shared)
+            if self._is_usable(response):
+                return to_batch(response)
+            if is_last or not self._try_bypass(parent, response):
+                eventlet.sleep(STALE_RETRY_SECONDS)
+                return to_batch(response)
         return None
 
     def _ask_parent(
@@ -124,27 +124,27 @@
     ) -> SharedRecords | None:
         """Return a parent's answer, or None if the parent gives no usable answer."""
         try:
-            shared = ask_records(
+            response = ask_records(
                 self.http, parent.address, self.topic, start, ANSWER_SECONDS, wait
             )
         except SourceUnavailable as error:
             self.parent_receiving = False
             self._avoid(parent, SILENT_SECONDS, str(error))
             return None
-        self.parent_receiving = shared.receiving
-        return shared
+        self.parent_receiving = response.receiving
+        return response
 
-    def _is_usable(self, shared: SharedRecords) -> bool:
+    def _is_usable(self, response: SharedRecords) -> bool:
         """Check whether an answer can be used without asking another process."""
-        if shared.lost and not shared.receiving and self.topic is Topic.TARGETS:
+        if response.lost and not response.receiving and self.topic is Topic.TARGETS:
             # A parent that cannot read the store ignores removals. Relying on its list,
             # gateways sent requests to a target for 2.07 s after the target had left;
             # 2 s are allowed.
             return False
         # Records that were delayed on the network are not read again from the store.
-        return bool(shared.records) or shared.age <= STALE_SECONDS
+        return bool(response.records) or response.age <= STALE_SECONDS
 
-    def _try_bypass(self, parent: Peer, shared: SharedRecords) -> bool:
+    def _try_bypass(self, parent: Peer, response: SharedRecords) -> bool:
         """Avoid a parent with stale records, unless too many are avoided already.
 
         Returns:
@@ -153,17 +153,17 @@
         # A parent that cannot read the store, or has read nothing, never gets records
         # earlier than this process. A parent that is receiving its first answer after
         # an outage does, and another reader of the store would slow that answer down.
-        is_lost = (shared.lost or not shared.end) and not shared.receiving
-        receiving = shared.receiving or any(self.stale_parents.values())
+        is_lost = (response.lost or not response.end) and not response.receiving
+        receiving = response.receiving or any(self.stale_parents.values())
         if not is_lost and not may_pass_over(
-            len(self.stale_parents), shared.age, receiving
+            len(self.stale_parents), response.age, receiving
         ):
             return False
         if is_lost:
             self.lost_parents.add(parent.name)
         else:
-            self.stale_parents[parent.name] = shared.receiving
-        reason = f"heard of the store {shared.age:.2f} s ago"
+            self.stale_parents[parent.name] = response.receiving
+        reason = f"heard of the store {response.age:.2f} s ago"
         self._avoid(parent, LATE_SECONDS, reason)
         return True
 
--- a/src/ridgecourse/cluster/view.py
+++ b/src/ridgecourse/cluster/view.py
@@ -40,7 +40,7 @@
         version_seconds: Seconds from the naming of a version until it is required.
         histories: The named versions of each model.
         targets: The list of targets.
-        listed: Whether the list has been read.
+        targets_loaded: Whether the list has been read.
         share: Serves the records to other processes.
         target_filter: Selects the changes of the list that are served to other
             processes.
@@ -65,7 +65,7 @@
         self.targets_pause = pace.targets_pause
         self.histories: dict[ModelName, VersionHistory] = {}
         self.targets = TargetList()
-        self.listed = False
+        self.targets_loaded = False
         self.changed = Broadcast()
         self.share = RecordShare(
             source.is_receiving, self._is_lost, self._removal_grace_seconds
@@ -191,33 +191,33 @@
             batch: The records of the decisions.
             is_snapshot: Whether the records are the newest ones of all keys.
         """
-        shared = self.share.topics[Topic.DECISIONS]
-        shared.record_origin(batch)
+        topic_records = self.share.topics[Topic.DECISIONS]
+        topic_records.record_origin(batch)
         named_at = self._earliest_named_at(batch)
         for record in batch.records:
-            known = shared.records.get(record.key)
+            known = topic_records.records.get(record.key)
             if not self._apply_decision(record, named_at):
                 continue
             if known is not None and known.offset >= record.offset:
                 # This reader had skipped the record, so downstream processes and
                 # processes that start have not received it either.
-                shared.put_late(record)
+                topic_records.put_late(record)
                 self.pinned_decisions.keep(record)
             else:
-                shared.put(record)
-        shared.record_progress(batch)
+                topic_records.put(record)
+        topic_records.record_progress(batch)
         self.share.changed.notify()
         self.changed.notify()
 
     def apply_pinned(self, records: Sequence[KeyedRecord]) -> None:
         """Apply pinned decisions whose revisions are higher than the known ones."""
-        shared = self.share.topics[Topic.DECISIONS]
+        topic_records = self.share.topics[Topic.DECISIONS]
         for record in records:
-            known = shared.records.get(record.key)
+            known = topic_records.records.get(record.key)
             offset = known.offset if known else Offset(0)
             placed = KeyedRecord(record.key, record.value, offset)
             if self._apply_decision(placed, None):
-                shared.put_late(placed)
+                topic_records.put_late(placed)
         self.changed.notify()
 
     def _earliest_named_at(self, batch: RecordBatch) -> Seconds | None:
@@ -269,8 +269,8 @@
         if self.config is not None:
             # The configuration that was read at the start may be long in force, so the
             # lag is measured for later ones only.
-            shared = self.share.topics[Topic.DECISIONS]
-            self.events.figures.observe("decision_lag", shared.lag)
+            topic_records = self.share.topics[Topic.DECISIONS]
+            self.events.figures.observe("decision_lag", topic_records.lag)
         self.config = config
         self.events.emit(
             EventKind.CONFIG_FOLDED,
@@ -281,17 +281,17 @@
         return True
 
     def _apply_version(
-        self, named: NamedVersion, offset: int, named_at: Seconds | None
+        self, named_version: NamedVersion, offset: int, named_at: Seconds | None
     ) -> bool:
-        history = self.history(named.model)
+        history = self.history(named_version.model)
         now = boottime()
-        if not history.name(named.version, now, named_at):
+        if not history.name(named_version.version, now, named_at):
             return False
         self.events.emit(
             EventKind.VERSION_NAMED,
             offset=offset,
-            version=str(named.version),
-            model=named.model,
+            version=str(named_version.version),
+            model=named_version.model,
             age=None if named_at is None else round(now - named_at, 3),
             **self._propagation_fields(),
         )
@@ -299,11 +299,11 @@
 
     def _propagation_fields(self) -> dict[str, Any]:
         """Return event fields that describe how the newest decision arrived."""
-        shared = self.share.topics[Topic.DECISIONS]
+        topic_records = self.share.topics[Topic.DECISIONS]
         return {
             "unheard": round(self.decisions_reader.unheard, 3),
-            "lag": round(shared.lag, 3),
-            "level": shared.level,
+            "lag": round(topic_records.lag, 3),
+            "level": topic_records.level,
         }
 
     def date_versions(self, ages: Iterable[VersionAge], asked_at: Seconds) -> None:
@@ -389,7 +389,7 @@
             self.targets.replace(records, now)
         else:
             self.targets.apply(records, now)
-        self.listed = True
+        self.targets_loaded = True
         emit_target_events(self.events, before, self.targets.targets)
         self.changed.notify()
 
@@ -411,4 +411,4 @@
 
     def ready(self) -> bool:
         """Check whether requests can be served."""
-        return self.config is not None and self.listed
+        return self.config is not None and self.targets_loaded
--- a/src/ridgecourse/wire/control.py
+++ b/src/ridgecourse/wire/control.py
@@ -19,7 +19,7 @@
 
 PROTOCOL_VERSION = 1
 MAX_CONTROL_BYTES = 16 * 1024 * 1024
-"""Largest control message. A snapshot of a configuration of the full size fits."""
+"""Largest control message. A snapshot of a full-size configuration fits."""
 
 
 class ControlMessage(Struct, frozen=True, tag_field="type", forbid_unknown_fields=True):
@@ -42,7 +42,7 @@
         root: Root digest of the version.
         chunks: Chunks that the sender holds, as indexes into the manifest's distinct
             chunks.
-        seen: Chunks that a member of the fleet is known to hold, as such indexes.
+        seen: Chunks that a member of the fleet is known to hold, in the same form.
     """
 
     root: RootDigest
