--- a/src/ridgecourse/cluster/domain_source.py
+++ b/src/ridgecourse/cluster/domain_source.py
@@ -1,6 +1,6 @@
 """Reads the store's records from a process of the failure domain or from the store.
 
-Few processes of a domain read the store; the others read from those. So a record
+Few processes of a domain read the store; the others read from those. Thus a record
 crosses the link to the store only a few times for each domain.
 """
 
@@ -53,7 +53,7 @@
 and a connection to a loader take about 0.5 s, and 2 s or more while all processes
 start at once."""
 SEED_RECEIVING_TIMEOUT_SECONDS = 5.0
-"""Timeout for asking a seed that is still receiving an answer of the store. Otherwise
+"""Timeout for asking a seed that is still receiving an answer from the store. Otherwise
 all starting processes would request the same 590 KB over the same link."""
 
 
--- a/src/ridgecourse/cluster/share.py
+++ b/src/ridgecourse/cluster/share.py
@@ -43,7 +43,7 @@
         end: Offset at which the answering process reads next.
         age: Seconds since the store confirmed that there are no newer records.
         waited: Seconds for which the process waited for new records before it answered.
-        receiving: Whether the answering process is receiving an answer of the store.
+        receiving: Whether the answering process is receiving an answer from the store.
         lost: Whether the answering process cannot read the store.
         kept: Seconds for which the answering process still ignores removals after an
             outage.
@@ -144,7 +144,7 @@
         """Delete all but the latest removed keys and the latest rejected keys.
 
         The two kinds are counted separately, so that rejected keys, however many they
-        are, do not displace the record of which targets left.
+        are, do not displace the keys of targets that left.
         """
         empty = [record for record in self.records.values() if not record.value]
         removed = [record.key for record in empty if not record.broken]
@@ -237,7 +237,7 @@
     Attributes:
         topics: The records of each topic.
         changed: Notified when records were read.
-        is_receiving: Returns whether this process is receiving an answer of the store.
+        is_receiving: Returns whether this process is receiving a store answer.
         is_lost: Returns whether this process cannot read the store.
         removal_grace_seconds: Returns for how many seconds this process still ignores
             removals.
@@ -294,8 +294,8 @@
     ) -> None:
         """Wait for a new record, or until the store confirms that there is none.
 
-        So the records of downstream processes are hardly older than those of this one,
-        on each level of the read tree.
+        Thus, on each level of the read tree, downstream records are hardly older than
+        the records of this process.
         """
         deadline = boottime() + wait
         confirmed_at = topic.confirmed_at
--- a/src/ridgecourse/cluster/tree_reader.py
+++ b/src/ridgecourse/cluster/tree_reader.py
@@ -66,10 +66,10 @@
         neighbours: The other processes that may be asked.
         avoided: Processes that are avoided, and until when.
         stale_parents: Avoided processes that had stale records although they can read
-            the store, and whether they were receiving an answer of the store.
+            the store, and whether they were receiving an answer from the store.
         lost_parents: Avoided processes that cannot read the store.
         tries: Decides when to try the store while it cannot be read.
-        parent_receiving: Whether the parent is receiving an answer of the store.
+        parent_receiving: Whether the parent is receiving an answer from the store.
         parent: The process that was read from last; None for the store.
     """
 
@@ -151,8 +151,8 @@
             Whether the parent is avoided.
         """
         # A parent that cannot read the store, or has read nothing, never gets records
-        # earlier than this process. A parent that is receiving its first answer after
-        # an outage does, and another reader of the store would slow that answer down.
+        # earlier than this process. But the first answer that a parent receives after
+        # an outage has new records, and another reader would slow that answer down.
         is_lost = (response.lost or not response.end) and not response.receiving
         receiving = response.receiving or any(self.stale_parents.values())
         if not is_lost and not may_pass_over(
