--- a/src/ridgecourse/gateway/__init__.py
+++ b/src/ridgecourse/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Program at the entry: takes callers' HTTP requests to targets by route."""
+"""Gateway program: route clients' HTTP requests to targets by configuration."""
--- a/src/ridgecourse/gateway/blocked_requests.py
+++ b/src/ridgecourse/gateway/blocked_requests.py
@@ -1,4 +1,7 @@
-"""Blocked requests in the platform's store, for a time when no gateway knows them."""
+"""Persist blocked requests in the platform's store.
+
+A gateway that starts reads them from there if no other gateway knows them.
+"""
 
 from collections.abc import Iterable, Iterator
 from random import random
@@ -28,23 +31,26 @@
 
 
 class StoredBlock(Struct, frozen=True, forbid_unknown_fields=True):
-    """The record of a blocked request.
+    """Stored record of a blocked request.
 
     Attributes:
-        news: What was known of it.
-        written_at: When, in seconds since 1970 by the writer's clock.
+        news: Crash report of the request.
+        written_at: Time of the write in seconds since 1970, by the writer's clock.
     """
 
     news: SuspectNews
     written_at: float
 
 
-class BlockedRequests:
-    """Writes and reads the records.
+class BlockedRequestStore:
+    """Writes and reads the records of blocked requests.
 
     Attributes:
         store: The platform's store.
-        pending: Records still to be written, by key.
+        events: Receives events and metrics.
+        pending: Records still to be written, by key; an empty value removes the record.
+        changed: Notified when a record is added to ``pending``.
+        thread: Thread that writes pending records.
     """
 
     def __init__(self, store: RecordSource, events: EventStream) -> None:
@@ -55,21 +61,24 @@
         self.thread: eventlet.greenthread.GreenThread | None = None
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the thread that writes pending records."""
         self.thread = spawn_loop(self._write_pending)
 
     def close(self) -> None:
-        """Stop."""
+        """Stop the thread that writes pending records."""
         if self.thread is not None:
             self.thread.kill()
 
-    def keep(self, news: SuspectNews) -> None:
-        """Write a request that is blocked, as soon as the store takes it."""
+    def add(self, news: SuspectNews) -> None:
+        """Schedule the record of a blocked request to be written.
+
+        Failed writes are retried until the store accepts the record.
+        """
         record = StoredBlock(news, time())
         self._put(news.signature, encode_message(record))
 
-    def drop(self, signature: RequestSignature) -> None:
-        """Remove a request that is no longer blocked."""
+    def remove(self, signature: RequestSignature) -> None:
+        """Schedule the record of a request that was unblocked to be removed."""
         self._put(signature, b"")
 
     def _put(self, signature: RequestSignature, value: bytes) -> None:
@@ -77,7 +86,9 @@
         self.changed.notify()
 
     def read(self) -> list[SuspectNews]:
-        """Return the requests that were blocked.
+        """Return the crash reports of the blocked requests in the store.
+
+        Their ages include the time since they were written.
 
         Raises:
             SourceUnavailable: The store gave no usable answer.
--- a/src/ridgecourse/gateway/crash_exchange.py
+++ b/src/ridgecourse/gateway/crash_exchange.py
@@ -1,10 +1,11 @@
-"""What gateways tell each other of requests under which engines ended.
-
-A single mark goes to the few gateways that gather the marks of that request. From the
-second one on news goes to all known gateways at once, and to some of them again while
-it is fresh, for datagrams get lost. What lasts is told to one after the other, so that
-a domain that was cut off learns of it. So what is sent follows the engines that end,
-and nothing is while none does.
+"""Gossip between gateways about requests that may crash engines.
+
+A crash report with a single strike goes only to the key owners, the few gateways that
+collect the strikes of that request. From the second strike on, a report goes to all
+known gateways at once. Recent reports are sent again to a random sample, since
+datagrams get lost. Persistent reports are sent to one gateway after another, so that a
+failure domain that was partitioned receives them. The traffic is proportional to the
+number of engine crashes, and there is none without crashes.
 """
 
 from abc import ABC, abstractmethod
@@ -24,156 +25,173 @@
 from ridgecourse.wire.codec import encode_message
 from ridgecourse.wire.control import CrashNews, CrashQuery
 
-REPEAT_SECONDS = 0.25
-FRESH_SECONDS = 2.0
-"""How long news is repeated: told on by each who has it to ``FANOUT`` others every
-``REPEAT_SECONDS``, it reaches hundreds in half of that."""
+RESEND_INTERVAL_SECONDS = 0.25
+RESEND_WINDOW_SECONDS = 2.0
+"""How long a recent report is sent again. Each gateway that has the report forwards it
+to ``FANOUT`` others every ``RESEND_INTERVAL_SECONDS``, which reaches hundreds of
+gateways in half of this time."""
 FANOUT = 3
-LASTING_SECONDS = 1.0
-"""Between two tellings of what lasts, each to one other gateway."""
-QUERY_SECONDS = 0.15
-ASK_SECONDS = 0.3
-"""How long others are asked before the store is: they answer in some milliseconds."""
-LEARN_SECONDS = 1.0
-"""Longest wait of a start; requests are served without an answer then."""
-RECALL_SECONDS = 1.0
-"""Between two tries to read the store."""
-HEAD_BYTES = 100
-"""Of a message, apart from its suspects."""
-
-
-class FreshNews(NamedTuple):
-    """What changed of late.
+PERSISTENT_INTERVAL_SECONDS = 1.0
+"""Interval between two transmissions of the persistent reports, each to one gateway."""
+QUERY_INTERVAL_SECONDS = 0.15
+STORE_FALLBACK_SECONDS = 0.3
+"""How long a starting gateway queries other gateways before it reads the store; they
+answer within some milliseconds."""
+MAX_SYNC_SECONDS = 1.0
+"""Longest time that readiness waits for the state; the gateway then serves requests
+without it."""
+STORE_READ_INTERVAL_SECONDS = 1.0
+"""Interval between two attempts to read the store."""
+HEADER_BYTES = 100
+"""Size of a message without its reports."""
+
+
+class RecentReports(NamedTuple):
+    """Crash reports that changed recently.
 
     Attributes:
-        for_all: Of requests that all gateways have to know of.
-        for_keepers: Of others, as noted here.
+        for_all: Reports for all gateways.
+        for_owners: Other reports of crashes that this gateway observed, for the key
+            owners.
     """
 
     for_all: Sequence[SuspectNews]
-    for_keepers: Sequence[SuspectNews]
+    for_owners: Sequence[SuspectNews]
 
 
-class SuspectKnowledge(ABC):
-    """What is told to others, and takes in what they tell."""
+class CrashReportState(ABC):
+    """Crash reports known here, updated from other gateways and the store."""
 
     @abstractmethod
-    def fresh_news(self, span: float) -> FreshNews:
-        """Return what changed within so many seconds."""
+    def recent_reports(self, window: float) -> RecentReports:
+        """Return the reports that changed within the last ``window`` seconds."""
 
     @abstractmethod
-    def lasting_news(self) -> Sequence[SuspectNews]:
-        """Return all that others have to know."""
+    def persistent_reports(self) -> Sequence[SuspectNews]:
+        """Return all reports that other gateways need."""
 
     @abstractmethod
-    def recall(self) -> bool:
-        """Take in what the store has; tell whether it could be read."""
+    def load_stored(self) -> bool:
+        """Apply the reports in the store; return whether the store could be read."""
 
     @abstractmethod
     def take_news(self, news: CrashNews) -> None:
-        """Take in what another gateway tells."""
+        """Apply the reports of another gateway."""
 
 
-class CrashExchange:
-    """Sends and takes news.
+class CrashGossip:
+    """Sends and receives crash reports.
 
     Attributes:
-        knowledge: What is told.
-        link: Carries it.
-        learned: Whether it is known what holds.
-        ready: Whether the start need not wait for that any longer.
+        state: Provides the reports to send and applies those received.
+        link: Datagram link to other gateways.
+        is_synced: Whether the current state was received from a gateway or the store.
+        ready: Whether readiness need not wait for the state any longer.
+        persistent_sent_at: When persistent reports were last sent.
+        threads: Threads that resend reports and fetch the initial state.
     """
 
     def __init__(
-        self, knowledge: SuspectKnowledge, link: GatewayLink, first_start: bool
+        self, state: CrashReportState, link: GatewayLink, first_start: bool
     ) -> None:
-        self.knowledge = knowledge
+        self.state = state
         self.link = link
-        self.learned = self.ready = first_start
-        self.told_lasting_at = 0.0
+        self.is_synced = self.ready = first_start
+        self.persistent_sent_at = 0.0
         self.threads: list[eventlet.greenthread.GreenThread] = []
-        link.handlers[CrashNews] = self._take
-        link.handlers[CrashQuery] = self._answer
+        link.handlers[CrashNews] = self._receive_reports
+        link.handlers[CrashQuery] = self._answer_query
 
     def start(self) -> None:
-        """Begin to tell, and ask what holds."""
-        for work in (self._repeat, self._learn):
-            self.threads.append(spawn_loop(work))
+        """Start to send reports and to fetch the current state."""
+        for loop in (self._resend_reports, self._sync):
+            self.threads.append(spawn_loop(loop))
 
     def close(self) -> None:
-        """Stop."""
+        """Stop the threads."""
         for thread in self.threads:
             thread.kill()
 
-    def tell_all(self, news: Iterable[SuspectNews]) -> None:
-        """Tell all known gateways."""
-        self._tell(news, self.link.all())
+    def send_to_all(self, reports: Iterable[SuspectNews]) -> None:
+        """Send reports to all known gateways."""
+        self._send(reports, self.link.all_addresses())
 
-    def tell_keepers(self, news: Iterable[SuspectNews]) -> None:
-        """Tell the few gateways that gather what is known of each request."""
-        for each in news:
-            self._tell([each], self.link.keepers(each.signature.hex()))
+    def send_to_owners(self, reports: Iterable[SuspectNews]) -> None:
+        """Send each report to the gateways that collect the reports of its request."""
+        for report in reports:
+            self._send([report], self.link.owners(report.signature.hex()))
 
-    def _tell(self, news: Iterable[SuspectNews], addresses: Sequence[Address]) -> None:
-        for part in pack(news):
-            self.link.send(CrashNews(self.link.site.process, part), addresses)
+    def _send(
+        self, reports: Iterable[SuspectNews], addresses: Sequence[Address]
+    ) -> None:
+        for batch in split_into_datagrams(reports):
+            self.link.send(CrashNews(self.link.site.process, batch), addresses)
 
-    def _take(self, message: CrashNews) -> None:
-        self.knowledge.take_news(message)
+    def _receive_reports(self, message: CrashNews) -> None:
+        self.state.take_news(message)
         if message.reply:
-            self.learned = self.ready = True
+            self.is_synced = self.ready = True
 
-    def _answer(self, query: CrashQuery) -> None:
-        """Tell a gateway that starts what holds, if that is known here."""
-        if not self.learned:
+    def _answer_query(self, query: CrashQuery) -> None:
+        """Send the persistent reports to a starting gateway, if synced here."""
+        if not self.is_synced:
             return
         try:
             address = parse_address(query.reply_to)
         except ValueError:
             self.link.socket.refused += 1
             return
-        news = self.knowledge.lasting_news()
-        self._tell(news, [address])
-        # Sent after all the news: it does not overtake them on a link that keeps order.
+        reports = self.state.persistent_reports()
+        self._send(reports, [address])
+        # The final message follows all reports; a link that preserves order delivers it
+        # last.
         self.link.send(CrashNews(self.link.site.process, [], reply=True), [address])
 
-    def _repeat(self) -> None:
+    def _resend_reports(self) -> None:
         while True:
-            eventlet.sleep(REPEAT_SECONDS * (0.5 + self.link.random.random()))
-            fresh = self.knowledge.fresh_news(FRESH_SECONDS)
-            self._tell(fresh.for_all, self.link.some(FANOUT))
-            self.tell_keepers(fresh.for_keepers)
+            eventlet.sleep(RESEND_INTERVAL_SECONDS * (0.5 + self.link.random.random()))
+            recent = self.state.recent_reports(RESEND_WINDOW_SECONDS)
+            self._send(recent.for_all, self.link.sample_addresses(FANOUT))
+            self.send_to_owners(recent.for_owners)
             now = boottime()
-            if now - self.told_lasting_at >= LASTING_SECONDS:
-                self.told_lasting_at = now
-                if lasting := self.knowledge.lasting_news():
-                    self._tell(lasting, self.link.some(1))
-
-    def _learn(self) -> None:
-        """Ask others, and the store where nobody answers."""
-        begun = boottime()
-        recalled_at = 0.0
+            if now - self.persistent_sent_at >= PERSISTENT_INTERVAL_SECONDS:
+                self.persistent_sent_at = now
+                if persistent := self.state.persistent_reports():
+                    self._send(persistent, self.link.sample_addresses(1))
+
+    def _sync(self) -> None:
+        """Query other gateways, then the store if none answers."""
+        started_at = boottime()
+        store_read_at = 0.0
         query = CrashQuery(str(self.link.address))
-        while not self.learned:
-            self.link.send(query, {*self.link.some(FANOUT), *self.link.seeds()})
-            eventlet.sleep(RECALL_SECONDS if self.ready else QUERY_SECONDS)
+        while not self.is_synced:
+            self.link.send(
+                query,
+                {*self.link.sample_addresses(FANOUT), *self.link.seed_addresses()},
+            )
+            eventlet.sleep(
+                STORE_READ_INTERVAL_SECONDS if self.ready else QUERY_INTERVAL_SECONDS
+            )
             now = boottime()
-            if now - begun >= ASK_SECONDS and now - recalled_at >= RECALL_SECONDS:
-                recalled_at = now
-                self.learned = self.learned or self.knowledge.recall()
-            self.ready = self.learned or boottime() - begun >= LEARN_SECONDS
-
-
-def pack(news: Iterable[SuspectNews]) -> Iterator[list[SuspectNews]]:
-    """Yield news in parts that fit into a datagram each."""
-    part: list[SuspectNews] = []
-    size = HEAD_BYTES
-    for each in news:
-        length = len(encode_message(each))
-        if part and size + length > MAX_BYTES:
-            yield part
-            part, size = [], HEAD_BYTES
-        part.append(each)
+            if (
+                now - started_at >= STORE_FALLBACK_SECONDS
+                and now - store_read_at >= STORE_READ_INTERVAL_SECONDS
+            ):
+                store_read_at = now
+                self.is_synced = self.is_synced or self.state.load_stored()
+            self.ready = self.is_synced or boottime() - started_at >= MAX_SYNC_SECONDS
+
+
+def split_into_datagrams(reports: Iterable[SuspectNews]) -> Iterator[list[SuspectNews]]:
+    """Yield the reports in batches that each fit into a datagram."""
+    batch: list[SuspectNews] = []
+    size = HEADER_BYTES
+    for report in reports:
+        length = len(encode_message(report))
+        if batch and size + length > MAX_BYTES:
+            yield batch
+            batch, size = [], HEADER_BYTES
+        batch.append(report)
         size += length
-    if part:
-        yield part
+    if batch:
+        yield batch
--- a/src/ridgecourse/gateway/crash_watch.py
+++ b/src/ridgecourse/gateway/crash_watch.py
@@ -1,4 +1,4 @@
-"""Watches which requests engines end under, and holds such requests back."""
+"""Detect requests that crash engines, and hold such requests back."""
 
 from collections import OrderedDict
 from collections.abc import Collection, Iterable, Sequence
@@ -19,14 +19,14 @@
     SuspectNews,
 )
 from ridgecourse.core.targets import ListedTarget
-from ridgecourse.gateway.blocked_requests import BlockedRequests
+from ridgecourse.gateway.blocked_requests import BlockedRequestStore
 from ridgecourse.gateway.crash_exchange import (
-    CrashExchange,
-    FreshNews,
-    SuspectKnowledge,
+    CrashGossip,
+    CrashReportState,
+    RecentReports,
 )
 from ridgecourse.gateway.gateway_link import GatewayLink
-from ridgecourse.gateway.sender import NotRun, Order, time_left
+from ridgecourse.gateway.sender import NotRun, RoutedRequest, time_left
 from ridgecourse.net.broadcast import Broadcast
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.events import EventKind, EventStream
@@ -34,32 +34,35 @@
 from ridgecourse.net.record_source import RecordSource, SourceUnavailable
 from ridgecourse.wire.control import CrashNews
 
-PROBE_PAUSES = (0.0, 0.02, 0.05)
-"""Before each look at an engine that broke off: one that ends closes its connections
-and stops listening at nearly the same time, in either order."""
-PROBE_SECONDS = 0.3
-WAIT_SHARE = 0.2
-"""Share of its time that a request waits for what becomes of it elsewhere."""
-MOST_ENDED = 256
-MOST_NOTED = 256
-REPEATED_SECONDS = 0.6
-"""How long a mark is told again to those who gather it: two times more are enough where
-one datagram in thirty is lost."""
-STORE = ProcessName("")
-"""Who tells what was read from the store."""
+PROBE_DELAYS_SECONDS = (0.0, 0.02, 0.05)
+"""Delay before each probe of an engine that closed a connection. An engine that ends
+closes its connections and its listening socket at nearly the same time, in either
+order."""
+PROBE_TIMEOUT_SECONDS = 0.3
+MAX_WAIT_SHARE = 0.2
+"""Largest share of its remaining time that a request waits while its outcome at another
+engine is open."""
+MAX_ENDED = 256
+MAX_OBSERVED = 256
+STRIKE_RESEND_SECONDS = 0.6
+"""How long a strike is sent again to the key owners of its request. 2 repetitions are
+enough at a datagram loss of 1 in 30."""
+STORE_PROCESS = ProcessName("")
+"""Sender recorded for reports that were read from the store."""
 
 
-class CrashWatch(SuspectKnowledge):
+class CrashWatch(CrashReportState):
     """Holds back requests that may crash engines.
 
     Attributes:
-        suspects: What is known of them.
-        ended: Lives of engines that are known to have ended.
-        noted: Requests under which engines ended here.
-        blocked: Requests that were told to be blocked.
-        store: Keeps blocked requests.
-        changed: Notified when a request may be judged otherwise than before.
-        exchange: Tells other gateways.
+        events: Receives events and metrics.
+        store: Persists blocked requests.
+        suspects: Crash reports of the suspect requests.
+        ended_incarnations: Incarnations of engines that are known to have ended.
+        observed: Requests under which this gateway saw engines end.
+        blocked: Requests whose block was reported as an event.
+        changed: Notified when the decision on a request may have changed.
+        gossip: Exchanges crash reports with other gateways.
     """
 
     def __init__(
@@ -70,152 +73,165 @@
         store: RecordSource,
     ) -> None:
         self.events = events
-        self.store = BlockedRequests(store, events)
+        self.store = BlockedRequestStore(store, events)
         self.suspects = CrashSuspects()
         self.ended: OrderedDict[EngineLife, None] = OrderedDict()
-        self.noted: OrderedDict[RequestSignature, None] = OrderedDict()
+        self.observed: OrderedDict[RequestSignature, None] = OrderedDict()
         self.blocked: frozenset[RequestSignature] = frozenset()
         self.changed = Broadcast()
-        self.exchange = CrashExchange(self, link, site.first_start)
+        self.gossip = CrashGossip(self, link, site.first_start)
 
     def start(self) -> None:
-        """Begin to exchange news."""
+        """Start to write blocked requests and to exchange crash reports."""
         self.store.start()
-        self.exchange.start()
+        self.gossip.start()
 
     def close(self) -> None:
-        """Stop."""
-        self.exchange.close()
+        """Stop the threads."""
+        self.gossip.close()
         self.store.close()
 
     # Requests.
 
-    def admit(self, order: Order) -> NotRun | None:
-        """Wait until a request may be sent; return why it is not to be."""
-        signature = order.signature
-        limit = boottime() + WAIT_SHARE * max(0.0, time_left(order.deadline))
+    def admit(self, routed: RoutedRequest) -> NotRun | None:
+        """Wait until a request may be sent; return the refusal if it must not be.
+
+        The wait is bounded by ``MAX_WAIT_SHARE`` of the time left to the request.
+        """
+        signature = routed.signature
+        give_up_at = boottime() + MAX_WAIT_SHARE * max(0.0, time_left(routed.deadline))
         while True:
             now = boottime()
-            verdict = self.suspects.judge(signature, now)
-            if verdict is Verdict.FREE:
+            decision = self.suspects.judge(signature, now)
+            if decision is Verdict.FREE:
                 return None
-            if verdict is Verdict.BLOCKED:
+            if decision is Verdict.BLOCKED:
                 self.events.figures.count("requests_blocked")
                 return self._refuse_blocked(signature, now)
-            if now >= limit:
-                return NotRun(Reason.CRASHES_ENGINES, "is tried elsewhere", False)
-            self.changed.wait(limit - now)
+            if now >= give_up_at:
+                return NotRun(
+                    Reason.CRASHES_ENGINES,
+                    "the outcome at another engine is still open",
+                    False,
+                )
+            self.changed.wait(give_up_at - now)
 
     def _refuse_blocked(self, signature: RequestSignature, now: Seconds) -> NotRun:
-        ends = sorted(life.target for life in self.suspects.blocked[signature])
+        ends = sorted(
+            incarnation.target for incarnation in self.suspects.blocked[signature]
+        )
         return NotRun(
             Reason.CRASHES_ENGINES,
-            f"{signature.hex()} ran where {', '.join(ends)} ended",
+            f"request {signature.hex()} was running when {', '.join(ends)} ended",
             arrived=False,
             come_back=self.suspects.blocked_for(signature, now),
         )
 
-    def avoided(self, order: Order) -> Collection[EngineLife]:
-        """Return the engines to which a request is better not sent."""
-        return self.suspects.avoided(order.signature, boottime())
+    def avoided(self, routed: RoutedRequest) -> Collection[EngineLife]:
+        """Return the engines that should not get a request if another can."""
+        return self.suspects.avoided(routed.signature, boottime())
 
-    def begin(self, order: Order, target: ListedTarget, life: EngineLife) -> Flight:
-        """Note that a request is sent to an engine."""
-        signature = order.signature
-        flight = Flight(order.call.request_id, signature, life, target.address)
-        self.suspects.begin(signature, life)
-        marks = self.suspects.count_marks(signature, boottime())
-        if marks:
+    def begin(
+        self, routed: RoutedRequest, target: ListedTarget, incarnation: EngineLife
+    ) -> Flight:
+        """Record that a request is sent to an engine."""
+        signature = routed.signature
+        flight = Flight(routed.call.request_id, signature, incarnation, target.address)
+        self.suspects.begin(signature, incarnation)
+        strikes = self.suspects.count_marks(signature, boottime())
+        if strikes:
             self.events.figures.count("requests_suspected")
-        if marks >= LONE_MARKS:
-            self._tell(signature)
+        if strikes >= LONE_MARKS:
+            self._send_report(signature)
         return flight
 
     def finish(self, flight: Flight) -> None:
-        """Note that a request is no longer at an engine."""
+        """Record that a request has left an engine."""
         self.suspects.finish(flight.signature, flight.life)
-        marks = self.suspects.count_marks(flight.signature, boottime())
-        if marks:
+        strikes = self.suspects.count_marks(flight.signature, boottime())
+        if strikes:
             self.changed.notify()
-        if marks >= LONE_MARKS:
-            self._tell(flight.signature)
+        if strikes >= LONE_MARKS:
+            self._send_report(flight.signature)
 
     def note_success(self, flight: Flight) -> None:
-        """Note that an engine answered a request."""
+        """Record that an engine answered a request."""
         if not self.suspects.note_success(flight.signature, boottime()):
             return
         if flight.signature in self.blocked:
-            self.store.drop(flight.signature)
+            self.store.remove(flight.signature)
         self.events.emit(
             EventKind.REQUEST_CLEARED,
             request=flight.request_id,
             signature=flight.signature.hex(),
         )
-        self._tell(flight.signature)
+        self._send_report(flight.signature)
         self.changed.notify()
 
     def note_disconnect(self, flight: Flight) -> None:
-        """Note that an engine broke off; look whether it has ended."""
-        broke_at = boottime()
+        """Record that an engine closed a connection, and probe whether it ended."""
+        disconnected_at = boottime()
         if not self._has_ended(flight):
             return
-        signature, life = flight.signature, flight.life
-        if not self.suspects.note_end(signature, life, broke_at):
+        signature, incarnation = flight.signature, flight.life
+        if not self.suspects.note_end(signature, incarnation, disconnected_at):
             return
-        self.noted[signature] = None
-        if len(self.noted) > MOST_NOTED:
-            self.noted.popitem(last=False)
+        self.observed[signature] = None
+        if len(self.observed) > MAX_OBSERVED:
+            self.observed.popitem(last=False)
         self.events.emit(
             EventKind.ENGINE_ENDED,
             request=flight.request_id,
-            target=life.target,
+            target=incarnation.target,
             signature=signature.hex(),
-            marks=self.suspects.count_marks(signature, broke_at),
+            marks=self.suspects.count_marks(signature, disconnected_at),
         )
-        self._tell(signature)
-        if signature in self._note_blocked():
-            self.store.keep(self.suspects.tell(signature, broke_at))
+        self._send_report(signature)
+        if signature in self._update_blocked():
+            self.store.add(self.suspects.tell(signature, disconnected_at))
 
     def _has_ended(self, flight: Flight) -> bool:
-        """Tell whether the life of an engine that broke off has ended."""
-        for pause in PROBE_PAUSES:
-            eventlet.sleep(pause)
+        """Return whether the incarnation that closed a connection has ended."""
+        for delay in PROBE_DELAYS_SECONDS:
+            eventlet.sleep(delay)
             if flight.life in self.ended:
                 return True
-            if refuses_connections(flight.address, PROBE_SECONDS):
+            if refuses_connections(flight.address, PROBE_TIMEOUT_SECONDS):
                 self.ended[flight.life] = None
-                if len(self.ended) > MOST_ENDED:
+                if len(self.ended) > MAX_ENDED:
                     self.ended.popitem(last=False)
                 return True
         return False
 
-    def _note_blocked(self) -> frozenset[RequestSignature]:
-        """Tell of requests that are blocked from now on; return them."""
-        before, self.blocked = (
+    def _update_blocked(self) -> frozenset[RequestSignature]:
+        """Update the blocked requests; report the new ones as events and return them."""
+        previous, self.blocked = (
             self.blocked,
             self.suspects.find_blocked(boottime()),
         )
-        for signature, lives in self.suspects.blocked.items():
-            if signature not in before:
+        for signature, incarnations in self.suspects.blocked.items():
+            if signature not in previous:
                 self.events.emit(
                     EventKind.REQUEST_BLOCKED,
                     signature=signature.hex(),
-                    ends=sorted(life.target for life in lives),
+                    ends=sorted(incarnation.target for incarnation in incarnations),
                 )
         self.changed.notify()
-        return self.blocked - before
+        return self.blocked - previous
 
     # Other gateways.
 
-    def _tell(self, signature: RequestSignature) -> None:
-        """Tell all gateways of a request, or those that gather what is known of it."""
-        news = self._news([signature])
-        if news and self.suspects.concerns_all(signature, boottime()):
-            self.exchange.tell_all(news)
-        elif news:
-            self.exchange.tell_keepers(news)
+    def _send_report(self, signature: RequestSignature) -> None:
+        """Send the report of a request to all gateways or to its key owners."""
+        reports = self._make_reports([signature])
+        if reports and self.suspects.concerns_all(signature, boottime()):
+            self.gossip.send_to_all(reports)
+        elif reports:
+            self.gossip.send_to_owners(reports)
 
-    def _news(self, signatures: Iterable[RequestSignature]) -> Sequence[SuspectNews]:
+    def _make_reports(
+        self, signatures: Iterable[RequestSignature]
+    ) -> Sequence[SuspectNews]:
         now = boottime()
         return [
             self.suspects.tell(signature, now)
@@ -223,41 +239,49 @@
             if signature in self.suspects.suspects
         ]
 
-    def fresh_news(self, span: float) -> FreshNews:
-        """Return what changed within so many seconds; see ``SuspectKnowledge``."""
+    def recent_reports(self, window: float) -> RecentReports:
+        """Return the reports changed within ``window`` s; see ``CrashReportState``."""
         now = boottime()
-        recent = self.suspects.recent(now, span)
-        for_all = [name for name in recent if self.suspects.concerns_all(name, now)]
-        recent = self.suspects.recent(now, min(span, REPEATED_SECONDS))
-        own = [name for name in recent if name in self.noted and name not in for_all]
-        return FreshNews(self._news(for_all), self._news(own))
+        recent = self.suspects.recent(now, window)
+        for_all = [
+            signature
+            for signature in recent
+            if self.suspects.concerns_all(signature, now)
+        ]
+        recent = self.suspects.recent(now, min(window, STRIKE_RESEND_SECONDS))
+        observed = [
+            signature
+            for signature in recent
+            if signature in self.observed and signature not in for_all
+        ]
+        return RecentReports(self._make_reports(for_all), self._make_reports(observed))
 
-    def lasting_news(self) -> Sequence[SuspectNews]:
-        """Return all that others have to know; see ``SuspectKnowledge``."""
-        return self._news(self.suspects.lasting(boottime()))
+    def persistent_reports(self) -> Sequence[SuspectNews]:
+        """Return all reports that other gateways need; see ``CrashReportState``."""
+        return self._make_reports(self.suspects.lasting(boottime()))
 
-    def recall(self) -> bool:
-        """Take in what the store has; see ``SuspectKnowledge``."""
+    def load_stored(self) -> bool:
+        """Apply the reports in the store; see ``CrashReportState``."""
         try:
             stored = self.store.read()
         except SourceUnavailable as error:
             self.events.emit(EventKind.LOG_LOST, topic="blocked", error=str(error))
             return False
-        for each in stored:
-            self.suspects.take(each, STORE, boottime())
-        self._note_blocked()
+        for report in stored:
+            self.suspects.take(report, STORE_PROCESS, boottime())
+        self._update_blocked()
         return True
 
     def take_news(self, news: CrashNews) -> None:
-        """Take in what another gateway tells; see ``SuspectKnowledge``."""
+        """Apply the reports of another gateway; see ``CrashReportState``."""
         now = boottime()
         completed = set()
-        for each in news.suspects:
-            new = self.suspects.take(each, news.process, now)
-            if new and self.suspects.completes(each, now):
-                completed.add(each.signature)
-                self._tell(each.signature)
+        for report in news.suspects:
+            is_new = self.suspects.take(report, news.process, now)
+            if is_new and self.suspects.completes(report, now):
+                completed.add(report.signature)
+                self._send_report(report.signature)
         if news.suspects:
-            # A trial elsewhere may be over, too.
-            for signature in self._note_blocked() & completed:
-                self.store.keep(self.suspects.tell(signature, now))
+            # The reports may also end a trial at another gateway.
+            for signature in self._update_blocked() & completed:
+                self.store.add(self.suspects.tell(signature, now))
--- a/src/ridgecourse/gateway/dispatcher.py
+++ b/src/ridgecourse/gateway/dispatcher.py
@@ -1,4 +1,4 @@
-"""Sends requests to targets, within their attempts, the retry budget and their time."""
+"""Send requests to targets within the attempt limit, retry budget and deadline."""
 
 from collections.abc import Callable
 from functools import partial
@@ -29,15 +29,15 @@
 from ridgecourse.gateway.messages import AnswerHead
 from ridgecourse.gateway.protocol import RequestProtocol
 from ridgecourse.gateway.selection import (
-    HOLD_SECONDS,
-    MISSING_WEIGHTS_SECONDS,
-    REFUSED_SECONDS,
+    MAX_LIMIT_DELAY_SECONDS,
+    MISSING_WEIGHTS_PAUSE_SECONDS,
+    REFUSED_PAUSE_SECONDS,
     Choice,
     TargetSelector,
 )
 from ridgecourse.gateway.sender import (
     NotRun,
-    Order,
+    RoutedRequest,
     Sender,
     SendResult,
     Stream,
@@ -50,22 +50,28 @@
 from ridgecourse.net.events import EventKind, EventStream
 from ridgecourse.net.front_server import CallerGone
 
-SHORTEST_ATTEMPT_SECONDS = 0.05
-"""A request is not sent once more with less time left than this."""
-RETRY_SAFETY = 0.9
-"""Share of the allowed repeats that is used: entries count apart."""
+MIN_ATTEMPT_SECONDS = 0.05
+"""A request is not sent again with less time left than this."""
+RETRY_BUDGET_SHARE = 0.9
+"""Share of the allowed retries that gateways use, since entries count their own retries
+separately."""
 FEWEST_GATEWAYS = 12
-"""Gateways among which the slack of the retry budget is divided at least, for some
-may not be known yet; with more the known ones count."""
+"""Smallest number of gateways by which the slack of the retry budget is divided, since
+some gateways may not be known yet. Above it, the number of known gateways is used."""
 
 
 class Dispatcher:
-    """Sends requests.
+    """Sends each request to one target after another until one answers.
 
     Attributes:
-        budgets: Bounds repeated sends, by service.
-        crashes: Holds back requests that may crash engines.
-        limits: Knows which targets name a limit.
+        site: The settings in force.
+        events: Receives events and metrics.
+        count_gateways: Returns the number of known gateways.
+        crash_watch: Holds back requests that may crash engines.
+        limit_watch: Tracks the rate limits that targets report.
+        selector: Chooses the target of each attempt.
+        sender: Sends one request to one target.
+        budgets: Retry budget of each service.
     """
 
     def __init__(
@@ -73,81 +79,91 @@
         site: Site,
         view: ClusterView,
         protocol: RequestProtocol,
-        watcher: LoadWatcher,
+        load_watcher: LoadWatcher,
         events: EventStream,
         lag: RecentPeak,
         random: Random,
         count_gateways: Callable[[], int],
-        crashes: CrashWatch,
-        limits: LimitWatch,
+        crash_watch: CrashWatch,
+        limit_watch: LimitWatch,
     ) -> None:
         self.site = site
         self.events = events
         self.count_gateways = count_gateways
-        self.crashes = crashes
-        self.limits = limits
-        self.selector = TargetSelector(site, view, watcher, lag, random, limits)
+        self.crash_watch = crash_watch
+        self.limit_watch = limit_watch
+        self.selector = TargetSelector(
+            site, view, load_watcher, lag, random, limit_watch
+        )
         self.sender = Sender(protocol)
         self.budgets: dict[ServiceName, RetryBudget] = {}
 
     def budget(self, service: ServiceName) -> RetryBudget:
-        """Return the bound on a service's repeated sends.
+        """Return the retry budget of a service.
 
-        Each gateway has its share of what all may send together.
+        Each gateway gets an equal share of the slack for all gateways.
         """
         bounds = self.site.bounds
         share = bounds.retry_slack / max(FEWEST_GATEWAYS, self.count_gateways())
         if service not in self.budgets:
-            ratio = bounds.retry_ratio * RETRY_SAFETY
+            ratio = bounds.retry_ratio * RETRY_BUDGET_SHARE
             self.budgets[service] = RetryBudget(ratio, share)
         budget = self.budgets[service]
         budget.limit(share)
         return budget
 
     def try_targets(
-        self, order: Order, terms: Terms, tried: set[EngineLife]
+        self, routed: RoutedRequest, terms: Terms, tried: set[EngineLife]
     ) -> SendResult:
-        """Send until a target answers, within attempts, budget and deadline.
+        """Send a request until a target answers, or until it must not be sent again.
+
+        Attempts, retry budget and deadline bound the sends. A proof that a target did
+        not run the request lets any request go to another target. After an attempt with
+        an unknown outcome, only a repeatable request is sent again. Such a request may
+        have run, whatever later targets prove about their own attempts.
 
-        A proof that nothing ran lets any request go on to another target; after
-        a loss only one that may be repeated goes on. It may have run then, whatever
-        later targets prove of themselves.
+        Raises:
+            CallerGone: The client disconnected before a send.
         """
         result: SendResult = NotRun(Reason.NO_TARGET, "no target", arrived=False)
-        lost: Unknown | None = None
-        sends = len(tried)
-        while time_left(order.deadline) > SHORTEST_ATTEMPT_SECONDS:
-            if held_back := self.crashes.admit(order):
-                result = held_back
+        unknown: Unknown | None = None
+        send_count = len(tried)
+        while time_left(routed.deadline) > MIN_ATTEMPT_SECONDS:
+            if refusal := self.crash_watch.admit(routed):
+                result = refusal
                 break
-            avoided = self.crashes.avoided(order)
-            choice = self.selector.choose(terms.service, order.call, tried, avoided)
-            if choice is None or sends >= terms.route.max_attempts:
+            avoided = self.crash_watch.avoided(routed)
+            choice = self.selector.choose(terms.service, routed.call, tried, avoided)
+            if choice is None or send_count >= terms.route.max_attempts:
                 break
-            if choice.hold > HOLD_SECONDS:
-                detail = f"{choice.target.target} takes no more for now"
+            if choice.hold > MAX_LIMIT_DELAY_SECONDS:
+                detail = f"the rate limit of {choice.target.target} is reached"
                 result = NotRun(Reason.OVERLOADED, detail, arrived=False)
                 break
-            if order.is_abandoned():
-                raise CallerGone("the connection ended before a send")
-            if not tried and (hopeless := self._hopeless(order, terms, choice)):
-                return hopeless
-            if sends and not self.budget(terms.service.name).take_retry():
+            if routed.is_abandoned():
+                raise CallerGone("the client disconnected before the request was sent")
+            if not tried and (
+                overload := self._check_load_shedding(routed, terms, choice)
+            ):
+                return overload
+            if send_count and not self.budget(terms.service.name).take_retry():
                 break
-            result = self._send_once(order, choice, tried)
+            result = self._send_once(routed, choice, tried)
             if isinstance(result, (Whole, Stream)):
                 return result
             if isinstance(result, Unknown):
                 if result.late or not terms.route.repeatable:
                     break
-                lost = result
-                sends += 1
+                unknown = result
+                send_count += 1
             elif result.arrived:
-                sends += 1
-        return lost or result
+                send_count += 1
+        return unknown or result
 
-    def _hopeless(self, order: Order, terms: Terms, choice: Choice) -> NotRun | None:
-        """Refuse what is not to be let in even where it would begin soonest."""
+    def _check_load_shedding(
+        self, routed: RoutedRequest, terms: Terms, choice: Choice
+    ) -> NotRun | None:
+        """Return a refusal if the wait would be too long even at the best target."""
         engine = terms.service.engine
         if engine is None or not terms.route.objective:
             return None
@@ -155,120 +171,125 @@
         delay = self.selector.delays[terms.service.name].expect(now)
         prospect = Prospect(
             objective=terms.route.objective,
-            waited=order.waited,
+            waited=routed.waited,
             wait=choice.wait,
             reading=choice.reading,
             fill=self.selector.fill(choice.target, now),
             delay=delay,
-            left=time_left(order.deadline),
+            left=time_left(routed.deadline),
         )
         excess = excess_wait(prospect)
         if excess is None:
             return None
-        order.excess = excess
+        routed.excess = excess
         detail = (
-            f"would wait {choice.wait:.2f} s and {delay:.2f} s at "
-            f"{choice.target.target}, filled to {prospect.fill:.2f}, after "
-            f"{order.waited:.2f} s"
+            f"estimated wait {choice.wait:.2f} s, first-event delay {delay:.2f} s at "
+            f"{choice.target.target}, utilization {prospect.fill:.2f}, after "
+            f"{routed.waited:.2f} s of waiting"
         )
         return NotRun(Reason.OVERLOADED, detail, arrived=False)
 
     def _send_once(
-        self, order: Order, choice: Choice, tried: set[EngineLife]
+        self, routed: RoutedRequest, choice: Choice, tried: set[EngineLife]
     ) -> SendResult:
         target = choice.target
-        life = self.selector.life(target)
-        tried.add(life)
-        order.version, order.begin_by = choice.terms.version, choice.terms.begin_by
-        # Of the life that gets the request: what becomes of it concerns no later one.
+        incarnation = self.selector.life(target)
+        tried.add(incarnation)
+        routed.version, routed.begin_by = choice.terms.version, choice.terms.begin_by
+        # Load and state belong to the incarnation that gets the request, so that the
+        # result does not affect a later one.
         load, state = self.selector.load(target), self.selector.state(target)
-        self._hold(order, choice, life)
-        begun = boottime()
+        self._wait_for_limit(routed, choice, incarnation)
+        sent_at = boottime()
         load.outstanding += 1
-        load.waiting[order.call.request_id] = Pending(begun, choice.reading)
+        load.waiting[routed.call.request_id] = Pending(sent_at, choice.reading)
         result: SendResult | None = None
-        flight = self.crashes.begin(order, target, life)
+        flight = self.crash_watch.begin(routed, target, incarnation)
         try:
-            note_head = partial(self._note_head, life)
-            result = self.sender.send(order, target, state.ways, note_head)
-            self._note_fate(flight, result)
+            record_head = partial(self._record_head, incarnation)
+            result = self.sender.send(routed, target, state.ways, record_head)
+            self._record_engine_outcome(flight, result)
         finally:
-            load.waiting.pop(order.call.request_id, None)
+            load.waiting.pop(routed.call.request_id, None)
             if isinstance(result, Stream):
                 result.load, result.flight = load, flight
             else:
                 load.outstanding -= 1
-                self.crashes.finish(flight)
-        self._learn(result, target, state)
+                self.crash_watch.finish(flight)
+        self._update_target_state(result, target, state)
         if isinstance(result, Stream):
             now = boottime()
-            expected = choice.wait + choice.reading + FIRST_EVENT_SECONDS
-            self.selector.delays[target.service].observe(now - begun - expected, now)
-        self._note_send(order, choice, result, boottime() - begun)
+            expected_seconds = choice.wait + choice.reading + FIRST_EVENT_SECONDS
+            self.selector.delays[target.service].observe(
+                now - sent_at - expected_seconds, now
+            )
+        self._emit_dispatched(routed, choice, result, boottime() - sent_at)
         return result
 
-    def _hold(self, order: Order, choice: Choice, life: EngineLife) -> None:
-        """Wait until a target that names a limit may get a request.
+    def _wait_for_limit(
+        self, routed: RoutedRequest, choice: Choice, incarnation: EngineLife
+    ) -> None:
+        """Wait until a target with a rate limit may get a request.
 
         Raises:
-            CallerGone: The caller went away meanwhile.
+            CallerGone: The client disconnected meanwhile.
         """
-        self.limits.limits.take(life, boottime())
+        self.limit_watch.limits.take(incarnation, boottime())
         if choice.hold:
             eventlet.sleep(choice.hold)
-            if order.is_abandoned():
-                raise CallerGone("the connection ended before a send")
+            if routed.is_abandoned():
+                raise CallerGone("the client disconnected before the request was sent")
 
-    def _note_head(self, life: EngineLife, head: AnswerHead) -> None:
-        """Take in what the head of an answer tells of its target."""
+    def _record_head(self, incarnation: EngineLife, head: AnswerHead) -> None:
+        """Record the rate limit in the head of a target's answer."""
         if not head.other_target:
-            self.limits.note_answer(life, head)
+            self.limit_watch.note_answer(incarnation, head)
 
-    def _note_fate(self, flight: Flight, result: SendResult) -> None:
-        """Take in whether a request ended its engine."""
+    def _record_engine_outcome(self, flight: Flight, result: SendResult) -> None:
+        """Record whether an engine answered a request or closed its connection."""
         if isinstance(result, Whole):
-            self.crashes.note_success(flight)
+            self.crash_watch.note_success(flight)
         elif isinstance(result, Unknown) and result.disconnected:
-            self.crashes.note_disconnect(flight)
+            self.crash_watch.note_disconnect(flight)
 
-    def _learn(
+    def _update_target_state(
         self, result: SendResult, target: ListedTarget, state: TargetState
     ) -> None:
-        """Take in what a result says of the target's health."""
+        """Update the health of a target from the result of a send."""
         now = boottime()
         if isinstance(result, NotRun) and result.reason is Reason.WRONG_TARGET:
-            state.not_before = Seconds(now + MISSING_WEIGHTS_SECONDS)
+            state.not_before = Seconds(now + MISSING_WEIGHTS_PAUSE_SECONDS)
             return
         if isinstance(result, NotRun) and result.arrived:
-            state.not_before = Seconds(now + REFUSED_SECONDS)
+            state.not_before = Seconds(now + REFUSED_PAUSE_SECONDS)
             return
         if isinstance(result, (Whole, Stream)):
             state.succeeded()
         elif state.failed(now):
             self.events.emit(EventKind.TARGET_EJECTED, target=target.target)
 
-    def _note_send(
-        self, order: Order, choice: Choice, result: SendResult, seconds: float
+    def _emit_dispatched(
+        self, routed: RoutedRequest, choice: Choice, result: SendResult, elapsed: float
     ) -> None:
         target = choice.target
         load = self.selector.load(target)
         begin_by = choice.terms.begin_by
-        self.events.figures.observe("first_answer", seconds)
+        self.events.figures.observe("first_answer", elapsed)
         detail: dict[str, Any] = (
             structs.asdict(result) if isinstance(result, (NotRun, Unknown)) else {}
         )
         self.events.emit(
             EventKind.REQUEST_DISPATCHED,
-            request=order.call.request_id,
+            request=routed.call.request_id,
             target=target.target,
-            took=round(seconds, 4),
+            took=round(elapsed, 4),
             expected_wait=round(choice.wait, 3),
             load_age=round(boottime() - load.reported_at, 2),
             outstanding=load.outstanding,
             result=type(result).__name__,
-            signature=order.signature.hex() if isinstance(result, Unknown) else None,
+            signature=routed.signature.hex() if isinstance(result, Unknown) else None,
             held=choice.terms.held,
-            only_version=order.version,
+            only_version=routed.version,
             begin_left=None if begin_by is None else round(begin_by - boottime(), 3),
             detail={name: str(value) for name, value in detail.items()},
         )
--- a/src/ridgecourse/gateway/forwarder.py
+++ b/src/ridgecourse/gateway/forwarder.py
@@ -1,4 +1,4 @@
-"""Callers' requests: routed, sent, answered."""
+"""Handle clients' requests: find their route, dispatch them and answer."""
 
 from collections import defaultdict
 from random import Random
@@ -17,24 +17,29 @@
 from ridgecourse.gateway.dispatcher import Dispatcher
 from ridgecourse.gateway.messages import CallerRequest
 from ridgecourse.gateway.protocol import RequestProtocol
-from ridgecourse.gateway.sender import NotRun, Order, Stream, Whole, time_left
+from ridgecourse.gateway.sender import NotRun, RoutedRequest, Stream, Whole, time_left
 from ridgecourse.gateway.stream_relay import StreamRelay
 from ridgecourse.gateway.terms import UNKNOWN_SERVICE, Rejection, Terms, find_terms
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.events import EventKind, EventStream
 from ridgecourse.net.front_server import CallerGone, FrontReply, FrontRequest
 
-DEFAULT_WAIT_SECONDS = 30.0
-"""Deadline of a request without one, on a route without a limit."""
+DEFAULT_TIMEOUT_SECONDS = 30.0
+"""Timeout of a request that states none, on a route without a limit."""
 
 
 class Forwarder:
-    """Answers callers.
+    """Answers clients.
 
     Attributes:
-        dispatcher: Sends their requests.
-        relay: Passes streams on.
-        patience: Time that callers have at their first try, by route.
+        site: The settings in force.
+        view: The configuration in force and its age.
+        protocol: Translates requests and answers.
+        dispatcher: Sends requests to targets.
+        events: Receives events and metrics.
+        random: Chooses among the services of a route, and spreads retry delays.
+        relay: Relays streams to clients.
+        client_timeouts: Usual client timeout at the first attempt, by route.
     """
 
     def __init__(
@@ -52,12 +57,16 @@
         self.dispatcher = dispatcher
         self.events = events
         self.random = random
-        self.relay = StreamRelay(dispatcher, self._note_end)
-        self.patience: dict[str, UsualPatience] = defaultdict(UsualPatience)
+        self.relay = StreamRelay(dispatcher, self._emit_ended)
+        self.client_timeouts: dict[str, UsualPatience] = defaultdict(UsualPatience)
 
     def handle(self, request: FrontRequest) -> FrontReply:
-        """Answer a request."""
-        arrived = boottime()
+        """Return the answer to a client's request.
+
+        Raises:
+            CallerGone: The client disconnected.
+        """
+        arrived_at = boottime()
         config = self.view.config
         if config is None:
             return self._refuse("", Reason.NOT_READY)
@@ -65,99 +74,107 @@
             return self._reject("", 431, "the head is too long")
         decoded = self.protocol.decode_request(request)
         if isinstance(decoded, Failure):
-            text = "; ".join(map(str, decoded.failure()))
-            return self._reject("", 400, text)
+            problems = "; ".join(map(str, decoded.failure()))
+            return self._reject("", 400, problems)
         call = decoded.unwrap()
-        found = find_terms(call, config, self.random)
-        if isinstance(found, Failure):
-            return self._decline(call, found.failure(), config)
-        terms = found.unwrap()
+        terms_result = find_terms(call, config, self.random)
+        if isinstance(terms_result, Failure):
+            return self._refuse_unroutable(call, terms_result.failure(), config)
+        terms = terms_result.unwrap()
         body = request.read_body(config.limits.body_bytes)
-        order = self._make_order(request, call, terms, body, arrived)
+        routed = self._make_routed_request(request, call, terms, body, arrived_at)
         try:
             with request.watched():
-                return self._answer(request, order, terms)
+                return self._answer(request, routed, terms)
         except CallerGone:
-            self._note_end(call, Outcome.UNKNOWN, "caller gone")
+            self._emit_ended(call, Outcome.UNKNOWN, "caller gone")
             raise
 
-    def _make_order(
+    def _make_routed_request(
         self,
         request: FrontRequest,
         call: CallerRequest,
         terms: Terms,
         body: bytes,
-        arrived: Seconds,
-    ) -> Order:
-        waits = [call.wait, terms.route.timeout or None]
-        wait = min((w for w in waits if w is not None), default=DEFAULT_WAIT_SECONDS)
+        arrived_at: Seconds,
+    ) -> RoutedRequest:
+        timeouts = [call.wait, terms.route.timeout or None]
+        timeout = min(
+            (limit for limit in timeouts if limit is not None),
+            default=DEFAULT_TIMEOUT_SECONDS,
+        )
         account = terms.account.account if terms.account else None
-        return Order(
+        return RoutedRequest(
             call=call,
             body=body or None,
             account=account,
-            deadline=Seconds(arrived + wait),
+            deadline=Seconds(arrived_at + timeout),
             version=None,
             begin_by=None,
             last_event=call.last_event,
             signature=sign_request(account, call.method, call.host, call.target, body),
-            waited=self._time_waited(call, terms),
+            waited=self._waited_seconds(call, terms),
             excess=0.0,
             is_abandoned=request.is_abandoned,
         )
 
-    def _time_waited(self, call: CallerRequest, terms: Terms) -> float:
-        """Return the seconds that a caller has waited for its first event.
+    def _waited_seconds(self, call: CallerRequest, terms: Terms) -> float:
+        """Return the seconds that a client has waited for its first event.
 
-        Who goes on with a stream has had that; turned away, it would lose the rest.
+        A client that resumes a stream has already received the first event. The result
+        is 0 then, since a refusal would lose the rest of the stream.
         """
         if call.wait is None:
             return 0.0
-        waited = self.patience[terms.route.name].observe(call.wait)
+        waited = self.client_timeouts[terms.route.name].observe(call.wait)
         return 0.0 if call.last_event is not None else waited
 
-    def _answer(self, request: FrontRequest, order: Order, terms: Terms) -> FrontReply:
+    def _answer(
+        self, request: FrontRequest, routed: RoutedRequest, terms: Terms
+    ) -> FrontReply:
         self.dispatcher.budget(terms.service.name).record_request()
         self.events.figures.count("requests")
         tried: set[EngineLife] = set()
-        result = self.dispatcher.try_targets(order, terms, tried)
-        call = order.call
+        result = self.dispatcher.try_targets(routed, terms, tried)
+        call = routed.call
         if isinstance(result, Whole):
             outcome = Outcome.COMPLETED if result.head.success else Outcome.UNKNOWN
-            self._note_end(call, outcome, f"status {result.head.status}")
+            self._emit_ended(call, outcome, f"status {result.head.status}")
             head = result.head
             return FrontReply(head.status, head.reason, head.headers, result.body)
         if isinstance(result, Stream):
             head = result.head
-            body = self.relay.relay(request, order, terms, tried, result)
+            body = self.relay.relay(request, routed, terms, tried, result)
             return FrontReply(head.status, head.reason, head.headers, body)
         if isinstance(result, NotRun):
-            return self._refuse_not_run(order, result)
-        self._note_end(call, Outcome.UNKNOWN, result.detail)
+            return self._refuse_not_run(routed, result)
+        self._emit_ended(call, Outcome.UNKNOWN, result.detail)
         return FrontReply(504 if result.late else 502)
 
-    # Answers of the gateway's own, and the log.
+    # Answers generated by the gateway, and the event log.
 
-    def _decline(
-        self, call: CallerRequest, why: Rejection, config: RoutingConfig
+    def _refuse_unroutable(
+        self, call: CallerRequest, rejection: Rejection, config: RoutingConfig
     ) -> FrontReply:
-        """Answer a request that the configuration has no terms for."""
-        if why is UNKNOWN_SERVICE:
+        """Answer a request for which the configuration has no route, key or service."""
+        if rejection is UNKNOWN_SERVICE:
             return self._refuse(call.request_id, Reason.UNKNOWN_SERVICE)
         if self.view.decisions_age > self.site.bounds.config_seconds:
-            # A rejection is final, and another gateway may know a newer configuration.
-            return self._refuse(call.request_id, Reason.MAY_BE_BEHIND, why.why)
-        return self._reject(call.request_id, why.status, why.why, config.version)
-
-    def _refuse_not_run(self, order: Order, result: NotRun) -> FrontReply:
-        """Refuse what no target has run, and tell when to come back."""
-        nowhere = result.reason in (Reason.NO_TARGET, Reason.WRONG_TARGET)
-        excess = None if nowhere else order.excess
+            # A rejection is final, but another gateway may have a newer configuration.
+            return self._refuse(call.request_id, Reason.MAY_BE_BEHIND, rejection.why)
+        return self._reject(
+            call.request_id, rejection.status, rejection.why, config.version
+        )
+
+    def _refuse_not_run(self, routed: RoutedRequest, result: NotRun) -> FrontReply:
+        """Refuse a request that no target has run, with the delay before a retry."""
+        has_no_target = result.reason in (Reason.NO_TARGET, Reason.WRONG_TARGET)
+        excess = None if has_no_target else routed.excess
         come_back = result.come_back
         if come_back is None:
-            left = time_left(order.deadline)
-            come_back = come_back_seconds(excess, left, self.random)
-        request_id = order.call.request_id
+            remaining = time_left(routed.deadline)
+            come_back = come_back_seconds(excess, remaining, self.random)
+        request_id = routed.call.request_id
         return self._refuse(request_id, result.reason, result.detail, come_back)
 
     def _refuse(
@@ -167,7 +184,7 @@
         detail: str = "",
         come_back: float = SHORTEST_COME_BACK_SECONDS,
     ) -> FrontReply:
-        """Answer that a request has not run and will not."""
+        """Answer with 503 that a request has not run and will not run."""
         self.events.emit(
             EventKind.REQUEST_REFUSED,
             request=request_id,
@@ -180,7 +197,7 @@
     def _reject(
         self, request_id: str, status: int, why: str, version: int = 0
     ) -> FrontReply:
-        """Answer that a request is wrong."""
+        """Answer that a request is invalid."""
         self.events.emit(
             EventKind.REQUEST_REFUSED,
             request=request_id,
@@ -191,7 +208,7 @@
         )
         return FrontReply(status, body=f"{why}\n".encode())
 
-    def _note_end(
+    def _emit_ended(
         self,
         call: CallerRequest,
         outcome: Outcome,
--- a/src/ridgecourse/gateway/gateway.py
+++ b/src/ridgecourse/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway process: ties callers, store and targets together."""
+"""Assemble the gateway process from its servers, store reader and target senders."""
 
 from collections.abc import Collection, Sequence
 from random import Random
@@ -35,19 +35,32 @@
 from ridgecourse.net.site_process import SiteProcess
 from ridgecourse.net.threads import spawn_loop
 
-UNREADY_SECONDS = 3.0
-"""How long new requests are still taken after readiness ended: the balancer asks
-once a second and believes the second miss. Later ones might not end in time."""
+UNREADY_GRACE_SECONDS = 3.0
+"""How long new requests are accepted after readiness ended. The load balancer polls
+readiness once a second and acts on the second failure. Requests accepted later might
+not complete before the process stops."""
 STOP_MARGIN_SECONDS = 0.5
-"""Before the process would be killed, by when it has ended itself."""
+"""Time between the end of draining and the moment when the process would be killed."""
 DRAIN_POLL_SECONDS = 0.05
 
 
 class Gateway(SiteProcess, Neighbours):
-    """One gateway.
+    """One gateway process.
 
     Attributes:
-        stopping: Whether the process has been told to stop.
+        view: Configuration, versions and targets as read from the store.
+        hub: Exchanges weights with other processes.
+        load_watcher: Follows the loads of the engines.
+        lag: Measures the delay of timers in this process.
+        link: Datagram link to other gateways.
+        crash_watch: Holds back requests that may crash engines.
+        limit_watch: Tracks the rate limits that targets report.
+        dispatcher: Sends requests to targets.
+        forwarder: Answers clients.
+        front: Server for clients.
+        readiness: Server for the load balancer's readiness probe.
+        figures: Serves metrics.
+        stopping: Whether the process was asked to stop.
     """
 
     def __init__(
@@ -65,23 +78,23 @@
         store = StoreRecords(source, decoder)
         self.view = open_view(site, store, self, self.events, GATEWAY_PACE)
         self.hub = Hub(site, self.view, self.events, origin, http)
-        self.watcher = LoadWatcher(site, self.view, self.hub, self.events)
+        self.load_watcher = LoadWatcher(site, self.view, self.hub, self.events)
         self.lag = LoopLag(self.events.figures)
         random = Random()
         self.link = GatewayLink(site, self.hub.place, self.hub.known, random)
-        self.crashes = CrashWatch(site, self.events, self.link, source)
-        self.limits = LimitWatch(self.events, self.link)
+        self.crash_watch = CrashWatch(site, self.events, self.link, source)
+        self.limit_watch = LimitWatch(self.events, self.link)
         self.dispatcher = Dispatcher(
             site,
             self.view,
             protocol,
-            self.watcher,
+            self.load_watcher,
             self.events,
             self.lag.peak,
             random,
             self.hub.count_gateways,
-            self.crashes,
-            self.limits,
+            self.crash_watch,
+            self.limit_watch,
         )
         self.forwarder = Forwarder(
             site, self.view, protocol, self.dispatcher, self.events, random
@@ -96,79 +109,81 @@
         self.threads: list = []
 
     def start(self) -> None:
-        """Open the servers and begin to read the store."""
+        """Open the servers and start to read the store."""
         self.front.start()
         self.readiness.start()
         self.figures.start()
         self.view.start()
         self.hub.start()
-        self.watcher.start()
+        self.load_watcher.start()
         self.link.start()
-        self.crashes.start()
-        self.limits.start()
+        self.crash_watch.start()
+        self.limit_watch.start()
         self.lag.start()
-        self.threads.append(spawn_loop(self._take_limits))
+        self.threads.append(spawn_loop(self._apply_limits))
         self.events.emit(EventKind.STARTED, http=str(self.front.address))
 
-    def _take_limits(self) -> None:
+    def _apply_limits(self) -> None:
         while True:
             if self.view.config is not None:
                 self.front.limits = self.view.config.limits
-            self.dispatcher.selector.forget_gone()
+            self.dispatcher.selector.forget_unlisted()
             self.view.changed.wait()
 
     def known_gateways(self) -> Collection[Peer]:
-        """Return the other gateways that are known."""
+        """Return the other known gateways."""
         return self.hub.known()
 
     def record_peers(self) -> Sequence[str]:
-        """Return whom to ask for the store's records, the nearest first."""
-        return self.hub.peers.for_records()
+        """Return the addresses to request the store's records from, nearest first."""
+        return self.hub.peers.record_addresses()
 
     def choose_parent(self, avoided: Collection[TargetName]) -> Peer | None:
-        """Return whom to read decisions from; None for the store."""
-        gateways = [g for g in self.hub.known() if g.name not in avoided]
+        """Return the gateway to read decisions from, or None to read from the store."""
+        gateways = [
+            gateway for gateway in self.hub.known() if gateway.name not in avoided
+        ]
         return gateway_parent(self.hub.place, gateways)
 
     def handle(self, request: FrontRequest) -> FrontReply:
-        """Answer a caller."""
+        """Return the answer to a client's request."""
         return self.forwarder.handle(request)
 
     def serve_ready(self, request: HttpRequest) -> HttpReply:
-        """Answer whether the balancer may send callers here."""
-        ready = self.view.ready() and self.crashes.exchange.ready
+        """Return 200 if the load balancer may send clients here, otherwise 503."""
+        ready = self.view.ready() and self.crash_watch.gossip.ready
         ready = ready and not self.stopping
         return HttpReply(200 if ready else 503)
 
     def take_bounds(self) -> None:
-        """Use the operators' limits as they stand in the settings now."""
+        """Apply the operators' limits from the current settings."""
         self.view.take_version_bound(self.site.bounds.version_seconds)
         self.dispatcher.budgets.clear()
 
     def drain(self) -> None:
-        """End readiness, serve what still comes, then finish and close."""
-        begun = boottime()
+        """End readiness, serve late arrivals, then finish the open requests."""
+        started_at = boottime()
         self.stopping = True
         self.events.emit(EventKind.STOPPING, in_flight=self.front.in_flight)
         if self.hub.has_successor():
-            self.watcher.withdraw()
+            self.load_watcher.withdraw()
             self.hub.withdraw()
-        eventlet.sleep(UNREADY_SECONDS)
+        eventlet.sleep(UNREADY_GRACE_SECONDS)
         self.front.stop_listening()
         self.front.closing = True
         self.front.end_idle_connections()
-        limit = begun + self.site.bounds.stop_seconds - STOP_MARGIN_SECONDS
-        while self.front.in_flight and boottime() < limit:
+        drain_until = started_at + self.site.bounds.stop_seconds - STOP_MARGIN_SECONDS
+        while self.front.in_flight and boottime() < drain_until:
             eventlet.sleep(DRAIN_POLL_SECONDS)
             self.front.end_idle_connections()
 
     def close(self) -> None:
-        """Release everything."""
+        """Stop all threads and close all servers."""
         self.lag.close()
-        self.crashes.close()
-        self.limits.close()
+        self.crash_watch.close()
+        self.limit_watch.close()
         self.link.close()
-        self.watcher.close()
+        self.load_watcher.close()
         self.hub.close()
         self.view.close()
         for thread in self.threads:
--- a/src/ridgecourse/gateway/gateway_link.py
+++ b/src/ridgecourse/gateway/gateway_link.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways, for what all of them have to know at once."""
+"""Datagram link between gateways, for messages that all gateways need promptly."""
 
 from collections.abc import Callable, Collection, Iterable
 from random import Random
@@ -15,32 +15,37 @@
 from ridgecourse.wire.control import GatewayNews
 
 PORT_OFFSET = 2
-"""From the control port to the one for this: the port between them is for chunks."""
-KEEPERS = 2
-NEAR_KEEPERS = 1
-"""Gateways that gather what is known of a key, of all and of the own domain: the loss
-of one loses nothing."""
+"""Offset of this port from the control port; the port between them serves chunks."""
+OWNERS_PER_KEY = 2
+LOCAL_OWNERS_PER_KEY = 1
+"""Gateways that collect the reports on a key: ``OWNERS_PER_KEY`` of all gateways and
+``LOCAL_OWNERS_PER_KEY`` of the own failure domain. The loss of one gateway loses no
+report."""
 
 
 class GatewayLink:
-    """Sends news to other gateways and hands out what they send.
+    """Sends messages to other gateways and dispatches received messages to handlers.
 
     Attributes:
-        place: This gateway.
-        known: Returns the other gateways.
-        handlers: Take messages, by their type.
-        address: Where this gateway takes them.
+        site: The settings in force.
+        local: The local peer.
+        known: Returns the other known gateways.
+        random: Selects samples of gateways.
+        address: Where this gateway receives datagrams.
+        socket: Socket at ``address``.
+        handlers: Handler of each message type.
+        thread: Thread that receives messages.
     """
 
     def __init__(
         self,
         site: Site,
-        place: Peer,
+        local: Peer,
         known: Callable[[], Collection[Peer]],
         random: Random,
     ) -> None:
         self.site = site
-        self.place = place
+        self.local = local
         self.known = known
         self.random = random
         self.address = Address(site.host, site.peer_ports[0] + PORT_OFFSET)
@@ -49,43 +54,43 @@
         self.thread: eventlet.greenthread.GreenThread | None = None
 
     def start(self) -> None:
-        """Begin to listen."""
+        """Open the socket and start to receive messages."""
         self.socket.start()
         self.thread = spawn_loop(self._receive)
 
     def close(self) -> None:
-        """Stop."""
+        """Stop the receiving thread and close the socket."""
         if self.thread is not None:
             self.thread.kill()
         self.socket.close()
 
-    def all(self) -> list[Address]:
-        """Return where all known gateways take news."""
+    def all_addresses(self) -> list[Address]:
+        """Return the datagram addresses of all known gateways."""
         return self._addresses(peer.control_address for peer in self.known())
 
-    def some(self, count: int) -> list[Address]:
-        """Return where some of them do, chosen anew each time."""
-        addresses = self.all()
+    def sample_addresses(self, count: int) -> list[Address]:
+        """Return a new random sample of at most ``count`` gateway addresses."""
+        addresses = self.all_addresses()
         return self.random.sample(addresses, min(count, len(addresses)))
 
-    def keepers(self, key: str) -> list[Address]:
-        """Return where those take news that gather what is known of a key.
+    def owners(self, key: str) -> list[Address]:
+        """Return the addresses of the gateways that collect the reports on a key.
 
-        The first of all gateways by rendezvous hashing, and one of the own domain,
-        which may be cut off.
+        These are the first of all gateways by rendezvous hashing, and the first of the
+        own failure domain, which may be partitioned from the others.
         """
-        peers = {str(peer.name): peer for peer in [*self.known(), self.place]}
+        peers = {str(peer.name): peer for peer in [*self.known(), self.local]}
         ranked = [peers[name] for name in rendezvous_rank(key, peers)]
-        near = [peer for peer in ranked if peer.domain == self.place.domain]
-        chosen = [*ranked[:KEEPERS], *near[:NEAR_KEEPERS]]
+        local_ranked = [peer for peer in ranked if peer.domain == self.local.domain]
+        chosen = [*ranked[:OWNERS_PER_KEY], *local_ranked[:LOCAL_OWNERS_PER_KEY]]
         return self._addresses(peer.control_address for peer in chosen)
 
-    def seeds(self) -> list[Address]:
-        """Return where the processes would that the settings name."""
+    def seed_addresses(self) -> list[Address]:
+        """Return the datagram addresses of the seed nodes in the settings."""
         return self._addresses(self.site.seeds)
 
     def send(self, message: Any, addresses: Iterable[Address]) -> None:
-        """Send a message; it may get lost."""
+        """Send a message to each address; datagrams may get lost."""
         self.socket.send(message, iter(addresses))
 
     def _addresses(self, control_addresses: Iterable[str]) -> list[Address]:
--- a/src/ridgecourse/gateway/hub.py
+++ b/src/ridgecourse/gateway/hub.py
@@ -1,4 +1,9 @@
-"""A gateway's part in the exchange of weights."""
+"""Fetch weight versions into the failure domain and serve them to its loaders.
+
+In each failure domain, one gateway is the hub of a version and the next in rank is its
+standby hub. Both fetch the version when it is announced or a loader requests it, the
+standby hub from the hub.
+"""
 
 from collections.abc import Iterable
 from functools import partial
@@ -22,9 +27,9 @@
 from ridgecourse.exchange.server import Exchange
 from ridgecourse.exchange.transfer import Transfer, TransferError
 from ridgecourse.gateway.hub_context import make_hub_context
-from ridgecourse.gateway.left_versions import LeftVersions
-from ridgecourse.gateway.told_gateways import HubPeers, ToldGateways
-from ridgecourse.gateway.warm_up import VersionHolder, WarmUp
+from ridgecourse.gateway.left_versions import SkippedVersions
+from ridgecourse.gateway.told_gateways import AnnouncedGateways, KnownPeers
+from ridgecourse.gateway.warm_up import VersionFetcher, WarmUp
 from ridgecourse.net.address import Address
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.events import EventKind, EventStream
@@ -40,37 +45,48 @@
 from ridgecourse.wire.codec import encode_message
 from ridgecourse.wire.control import Follow
 
-OLDER_FIRST_SHARE = 0.5
-"""Share of an older version's chunks up to which it is finished before a newer one
-is drawn, where the origin's rate is not known: both would share its link."""
-OLDER_POLL_SECONDS = 0.1
-OLDER_WAIT_SECONDS = 8.0
-"""Longest wait for that: an origin that is away for longer has both drawn anew."""
+OLDER_FIRST_MISSING_SHARE = 0.5
+"""Largest missing share of an older version with which that version is completed before
+a newer one is fetched; fetched together, both would share the origin's link. It applies
+only where the origin's rate is not known."""
+OLDER_POLL_INTERVAL_SECONDS = 0.1
+MAX_OLDER_WAIT_SECONDS = 8.0
+"""Longest wait for an older version. After a longer outage of the origin, both versions
+are fetched anew."""
 MANIFEST_STAGGER_SECONDS = 0.3
-"""A hub that is not the first waits so long before it asks the origin itself."""
+"""How long a hub asks other processes for a manifest before it asks the origin: this
+time for each hub ranked before it, and once more if loaders may have the manifest."""
 MANIFEST_LOADERS = 3
-"""Loaders that a hub asks for a manifest before the origin, which may be away."""
-MANIFEST_PATIENCE_SECONDS = 1.0
-"""How long the next in line asks its domain's hub: some round trips are enough."""
-ASKED_ON_SECONDS = 3.0
-"""How long gateways that are no holders leave it to those that are: all know of each
-other within some 2 s of a start."""
+"""Loaders that a hub asks for a manifest before the origin, which may be
+unreachable."""
+MANIFEST_TIMEOUT_SECONDS = 1.0
+"""How long the standby hub asks its domain's hub; some round trips are enough."""
+UNASSIGNED_DELAY_SECONDS = 3.0
+"""How long a gateway that is neither hub nor standby hub of a version leaves requests
+for the version to these two. All gateways know each other within some 2 s of a
+start."""
 RETRY_SECONDS = 0.5
-FIRST_MESSAGE_SECONDS = 2.0
+FIRST_MESSAGE_TIMEOUT_SECONDS = 2.0
 
 
-class Hub(VersionHolder):
-    """Brings versions in for the loaders of the domain.
+class Hub(VersionFetcher):
+    """Fetches versions for the loaders of the failure domain.
 
     Attributes:
-        place: Where others find it.
-        told: Gateways that connected loaders tell of.
-        peers: Whom to take versions and records from.
-        working: Versions that are being brought in.
-        transfers: Their transfers in progress, with the plan of each.
-        left: Decides which versions are not drawn, for newer ones are.
-        asked_at: When each was asked for first, if this gateway is no holder.
-        withdrawn: Whether the domain's other gateways have taken its place.
+        local_peer: Where other processes reach this gateway.
+        announced: Gateways that connected loaders report.
+        peers: Processes to fetch versions and records from.
+        context: Resources and limits of the transfers.
+        exchange: Serves chunks and announces the holdings.
+        catalogue: Manifests and holdings of versions.
+        skipped: Decides which versions are skipped in favour of newer ones.
+        fetching: Threads that fetch versions.
+        transfers: Transfers in progress, each with its plan.
+        requested_at: Time of the first request for each version, if this gateway is not
+            assigned to the version.
+        withdrawn: Whether other gateways of the failure domain have taken over.
+        prefetch: Fetches the versions in force at the first start.
+        relay: Relays records of the store.
     """
 
     def __init__(
@@ -93,43 +109,43 @@
             f"{site.host}:{control_port}",
             site.upload_bytes_per_s,
         )
-        self.told = ToldGateways()
-        self.peers = HubPeers(site, view, self.told, self.place)
+        self.announced = AnnouncedGateways()
+        self.peers = KnownPeers(site, view, self.announced, self.place)
         self.context = make_hub_context(site, events, http)
         self.exchange = Exchange(self.context)
         self.catalogue = Catalogue(self.context, origin, self.want)
-        self.left = LeftVersions(view, self.catalogue, events)
+        self.skipped = SkippedVersions(view, self.catalogue, events)
         self.working: dict[VersionKey, eventlet.greenthread.GreenThread] = {}
         self.transfers: dict[VersionKey, tuple[HubPlan, Transfer]] = {}
-        self.asked_at: dict[VersionKey, float] = {}
+        self.requested_at: dict[VersionKey, float] = {}
         self.withdrawn = False
         self.warm_up = WarmUp(self)
-        self.following: eventlet.greenthread.GreenThread | None = None
+        self.announcement_thread: eventlet.greenthread.GreenThread | None = None
         router = HttpRouter()
         self.exchange.add_routes(router)
         self.catalogue.add_routes(router)
         self.view.share.add_routes(router)
         router.add("GET", GATEWAYS_PATH, self.serve_gateways)
-        self.relay = RecordRelay(view, http, self.peers.for_records, events)
+        self.relay = RecordRelay(view, http, self.peers.record_addresses, events)
         self.http_server = HttpServer(Address(site.host, control_port + 1), router)
         self.control_server = ControlServer(
             Address(site.host, control_port), "", self.handle_channel
         )
 
     def start(self) -> None:
-        """Open both servers."""
+        """Open both servers and start to fetch announced versions."""
         self.http_server.start()
         self.control_server.start()
         self.relay.start()
-        self.following = spawn_loop(self._follow_names)
+        self.announcement_thread = spawn_loop(self._fetch_on_announcement)
         if self.site.first_start:
             self.warm_up.start()
 
     def close(self) -> None:
-        """Close them and end all transfers."""
+        """Close both servers and end all transfers."""
         self.warm_up.close()
-        if self.following is not None:
-            self.following.kill()
+        if self.announcement_thread is not None:
+            self.announcement_thread.kill()
         for thread in self.working.values():
             thread.kill()
         self.relay.close()
@@ -137,10 +153,10 @@
         self.http_server.close()
 
     def withdraw(self) -> None:
-        """Leave what is being brought in to the domain's other gateways.
+        """Leave the fetches in progress to the failure domain's other gateways.
 
-        Loaders turn to these at once; drawn here as well, it would keep the origin's
-        link busy for nothing.
+        Loaders turn to these gateways at once. Fetching here as well would load the
+        origin's link for nothing.
         """
         self.withdrawn = True
         for thread in self.working.values():
@@ -148,74 +164,77 @@
         self.working.clear()
 
     def handle_channel(self, channel: ControlChannel) -> None:
-        """Tell another process what is held here, until it goes away.
+        """Announce the chunks available here to another process until it disconnects.
 
         Raises:
-            ChannelClosed: It went away.
+            ChannelClosed: The process disconnected.
         """
-        follow = channel.receive(Follow, FIRST_MESSAGE_SECONDS)
+        follow = channel.receive(Follow, FIRST_MESSAGE_TIMEOUT_SECONDS)
         if follow is None:
             raise ChannelClosed("no first message")
         self.exchange.tell_holdings(channel, follow)
 
     def learn(
-        self, loader: str, came: Iterable[Peer], gone: Iterable[TargetName] = ()
+        self, loader: str, added: Iterable[Peer], removed: Iterable[TargetName] = ()
     ) -> None:
-        """Take in a loader that is connected, and which gateways came and went."""
-        self.told.learn(loader, came, gone)
-        self._review_plans()
+        """Record a connected loader and the gateways it reports added or removed."""
+        self.announced.learn(loader, added, removed)
+        self._cancel_outdated_transfers()
 
     def forget(self, loader: str) -> None:
-        """Drop what a loader told, which is lost or will tell it anew."""
-        self.told.forget(loader)
-        self._review_plans()
+        """Drop the gateways reported by a loader that disconnected or reports anew."""
+        self.announced.forget(loader)
+        self._cancel_outdated_transfers()
 
-    def _review_plans(self) -> None:
-        """End the transfers whose plan is another one now."""
+    def _cancel_outdated_transfers(self) -> None:
+        """Cancel the transfers whose plan has changed."""
         for key, (plan, transfer) in list(self.transfers.items()):
             if plan != self.plan(key):
-                # A gateway came or went: go on with those that are there now.
+                # A gateway was added or removed: continue with the current gateways.
                 transfer.cancel()
 
     def known(self) -> list[Peer]:
-        """Return the gateways that loaders tell of."""
-        return self.told.known()
+        """Return the gateways that loaders report."""
+        return self.announced.known()
 
     def count_gateways(self) -> int:
-        """Return how many gateways there are, as far as loaders tell."""
-        return self.told.count_with(self.place)
+        """Return the number of gateways that loaders report, this one included."""
+        return self.announced.count_including(self.place)
 
     def has_successor(self) -> bool:
-        """Tell whether another gateway of the domain can take this one's place."""
-        return self.told.has_neighbour(self.place)
+        """Check whether another gateway of the failure domain can take over."""
+        return self.announced.has_other_in_domain(self.place)
 
     def serve_gateways(self, request: HttpRequest) -> HttpReply:
-        """Tell a loader that nobody watches yet which gateways there are."""
+        """Return the known gateways to a loader that no gateway watches yet."""
         gateways = {peer.name: peer for peer in [*self.known(), self.place]}
         return HttpReply(200, encode_message(list(gateways.values())))
 
     def plan(self, key: VersionKey) -> HubPlan:
-        """Return who brings a version in.
+        """Return the plan by which gateways fetch a version.
 
-        A gateway that is asked and is not its domain's hub copies the version
-        from there, so that no second one draws it from the origin.
+        A gateway that receives a request and is not its domain's hub copies the version
+        from that hub, so that a second gateway does not fetch the version from the
+        origin.
         """
         return plan_hubs(str(key), self.known(), self.place)
 
-    def _follow_names(self) -> None:
+    def _fetch_on_announcement(self) -> None:
         while True:
             self.bring_named()
             self.view.changed.wait()
 
     def bring_named(self) -> None:
-        """Bring in what was named lately, if that is this gateway's part.
+        """Fetch recently announced versions that this gateway is assigned to.
 
-        Loaders ask for it once they have an older version whole; with two names 2 s
-        apart the newer one then came to the hubs 3 s later than it could, and engines
-        were without weights for that long.
+        Loaders request a version only once they have an older version complete. Without
+        this early fetch, with two announcements 2 s apart, the newer version reached
+        the hubs 3 s later than possible, and engines were without weights for that
+        long.
         """
         if not self.known():
-            # No loader has told yet who else there is; loaders ask who is to draw.
+            # No loader has reported the other gateways yet; loaders request versions
+            # from the gateway that is to fetch them.
             return
         for model, history in self.view.histories.items():
             key = (model, history.newest)
@@ -223,47 +242,51 @@
                 self.want(key)
 
     def want(self, key: VersionKey) -> None:
-        """Bring a version in, if that has not begun."""
+        """Start to fetch a version, unless the fetch has started."""
         if self.withdrawn or self.has(key) or key in self.working:
             return
-        if not self.is_needed(key) or not self._has_part(key):
+        if not self.is_needed(key) or not self._is_assigned(key):
             return
         self.working[key] = eventlet.spawn(self.bring, key)
 
-    def _has_part(self, key: VersionKey) -> bool:
-        """Tell whether this gateway is one that brings a version in.
+    def _is_assigned(self, key: VersionKey) -> bool:
+        """Check whether this gateway is to fetch a version, as hub or standby hub.
 
-        Others were asked while not all gateways were known. Copies of their own kept
-        the hub's link busy: after a start of all, seven of nine drew one each.
+        Other gateways receive requests while not all gateways are known. If they
+        fetched copies of their own, these would load the hub's link: after a
+        simultaneous start of all gateways, 7 of 9 fetched a copy each.
         """
-        return self.plan(key).holds or self._is_asked_on(key)
+        return self.plan(key).holds or self._is_still_requested(key)
+
+    def _is_still_requested(self, key: VersionKey) -> bool:
+        """Check whether an unassigned version is still requested after the delay.
 
-    def _is_asked_on(self, key: VersionKey) -> bool:
-        """Tell whether a version is asked for still, by who knows no better gateway."""
-        first = self.asked_at.setdefault(key, boottime())
-        return boottime() - first > ASKED_ON_SECONDS
+        The requesting process then knows no assigned gateway.
+        """
+        first_requested_at = self.requested_at.setdefault(key, boottime())
+        return boottime() - first_requested_at > UNASSIGNED_DELAY_SECONDS
 
     def has(self, key: VersionKey) -> bool:
-        """Tell whether a version is held whole."""
+        """Check whether a version is available and complete."""
         holding = self.catalogue.holdings.get(key)
         return holding is not None and holding.complete
 
     def bring(self, key: VersionKey) -> None:
-        """Bring a version in for others, until it is whole or out of date."""
-        begun = boottime()
+        """Fetch a version for other processes until it is complete or not needed."""
+        started_at = boottime()
         try:
-            while self.is_needed(key) and self._has_part(key):
+            while self.is_needed(key) and self._is_assigned(key):
                 self._wait_for_older(key)
                 try:
-                    whole = self._try_bring(key)
+                    is_complete = self._try_fetch(key)
                 except TransferError as error:
-                    self._note_failure(key, str(error))
+                    self._report_failure(key, str(error))
                     if self.view.wanted_version(key[0]) > key[1]:
-                        # Tried again, it would hold newer versions back.
+                        # A retry would delay newer versions.
                         return
                     continue
-                if whole:
-                    took = round(boottime() - begun, 2)
+                if is_complete:
+                    took = round(boottime() - started_at, 2)
                     version = str(key[1])
                     self.events.emit(
                         EventKind.VERSION_COMPLETE, version=version, took=took
@@ -273,79 +296,81 @@
             self.working.pop(key, None)
 
     def _wait_for_older(self, key: VersionKey) -> None:
-        """Wait while an older version is nearly here, but not without end."""
-        limit = boottime() + OLDER_WAIT_SECONDS
-        while self._goes_older_first(key) and boottime() < limit:
-            if not self.is_needed(key) or self._has_begun_near(key):
+        """Wait a bounded time while an older version is nearly complete."""
+        wait_until = boottime() + MAX_OLDER_WAIT_SECONDS
+        while self._older_takes_precedence(key) and boottime() < wait_until:
+            if not self.is_needed(key) or self._has_hub_started(key):
                 return
-            eventlet.sleep(OLDER_POLL_SECONDS)
+            eventlet.sleep(OLDER_POLL_INTERVAL_SECONDS)
 
-    def _has_begun_near(self, key: VersionKey) -> bool:
-        """Tell whether the domain's hub, if that is another, brings a version in.
+    def _has_hub_started(self, key: VersionKey) -> bool:
+        """Check whether the domain's hub, if another gateway, has started a fetch.
 
-        It gave up what was older, or has it; waiting on would only be late.
+        The hub then has skipped or completed older versions, so waiting longer only
+        delays the newer one.
         """
         plan = self.plan(key)
         if self.place in plan.hubs or not plan.near:
             return False
         return self.catalogue.ask(plan.near[0], key) is not None
 
-    def _goes_older_first(self, key: VersionKey) -> bool:
-        """Tell whether an older version that is being drawn is finished first."""
+    def _older_takes_precedence(self, key: VersionKey) -> bool:
+        """Check whether an older version in transfer is to be completed first."""
         return any(
-            other[0] == key[0]
-            and other[1] < key[1]
+            other_key[0] == key[0]
+            and other_key[1] < key[1]
             and not transfer.lacking
-            and self._goes_first(other, transfer, key)
-            for other, (_, transfer) in self.transfers.items()
+            and self._takes_precedence(other_key, transfer, key)
+            for other_key, (_, transfer) in self.transfers.items()
         )
 
-    def _goes_first(
+    def _takes_precedence(
         self, older: VersionKey, transfer: Transfer, newer: VersionKey
     ) -> bool:
-        goes_first = self.left.goes_first(older, newer)
-        if goes_first is None:
-            return transfer.missing_share <= OLDER_FIRST_SHARE
-        return goes_first
+        takes_precedence = self.skipped.takes_precedence(older, newer)
+        if takes_precedence is None:
+            return transfer.missing_share <= OLDER_FIRST_MISSING_SHARE
+        return takes_precedence
 
     def is_needed(self, key: VersionKey) -> bool:
-        """Tell whether a version is new enough for others to use."""
+        """Check whether a version is new enough for other processes to use."""
         history = self.view.history(key[0])
         if self.catalogue.is_outdated(key, history.count_newer(key[1])):
             return False
-        if self.left.leaves(key):
+        if self.skipped.is_skipped(key):
             return False
         bound = history.dated_bound(key[1])
-        draw = self.left.draw_seconds(key) or 0.0
-        return is_of_use(draw, bound, boottime())
+        fetch_seconds = self.skipped.draw_seconds(key) or 0.0
+        return is_of_use(fetch_seconds, bound, boottime())
 
-    def _try_bring(self, key: VersionKey) -> bool:
+    def _try_fetch(self, key: VersionKey) -> bool:
         config = self.view.config
         if config is None or config.origin is None:
             eventlet.sleep(RETRY_SECONDS)
             return False
         plan = self.plan(key)
-        self._wake_others(key, plan)
+        self._notify_other_hubs(key, plan)
         holding = self._find_manifest(key, config.origin.address, plan)
         if holding is None:
-            self._note_failure(key, "no manifest")
+            self._report_failure(key, "no manifest")
             return False
         if plan != self.plan(key) or not self.is_needed(key):
-            # A gateway came or went meanwhile: ask anew, those that are there now.
+            # A gateway was added or removed meanwhile: try again with the current
+            # gateways.
             return False
         self.join(key, holding)
         chunks = self.origin.chunks(config.origin.address, *key)
-        names = [hub.name for hub in plan.hubs]
+        hub_names = [hub.name for hub in plan.hubs]
         transfer = Transfer(
             self.context,
             chunks,
             holding,
             self.peers.sources(key, plan),
             1,
-            names,
+            hub_names,
             config.origin.domain,
             is_needed=partial(self.is_needed, key),
-            # The rate is that of the link between regions.
+            # The rate limit applies to the link between regions.
             unpaced_domain=self.site.domain,
         )
         self.transfers[key] = plan, transfer
@@ -354,33 +379,33 @@
         finally:
             del self.transfers[key]
 
-    def _note_failure(self, key: VersionKey, error: str) -> None:
+    def _report_failure(self, key: VersionKey, error: str) -> None:
         self.events.emit(EventKind.ROLLOUT_FAILED, version=str(key[1]), error=error)
         eventlet.sleep(RETRY_SECONDS)
 
-    def _wake_others(self, key: VersionKey, plan: HubPlan) -> None:
-        """Ask the other hubs, and the next in line here, to begin as well."""
-        woken = [*plan.hubs, *plan.near[:1]]
-        for peer in woken if self.place in plan.hubs else plan.hubs:
+    def _notify_other_hubs(self, key: VersionKey, plan: HubPlan) -> None:
+        """Ask the other hubs and the domain's standby hub to start fetching as well."""
+        notified = [*plan.hubs, *plan.near[:1]]
+        for peer in notified if self.place in plan.hubs else plan.hubs:
             if peer != self.place:
                 eventlet.spawn(self.catalogue.ask, peer, key)
 
     def _find_manifest(
         self, key: VersionKey, origin: str, plan: HubPlan
     ) -> Holding | None:
-        """Return a version's holding; the hub first in line asks the origin."""
+        """Return a version's holding; the first hub asks the origin for a manifest."""
         if self.place in plan.hubs:
             rank = plan.hubs.index(self.place)
             loaders = self.peers.loaders_that_may_hold(key)[:MANIFEST_LOADERS]
-            patience = MANIFEST_STAGGER_SECONDS * (rank + bool(loaders))
-            asked = [*plan.hubs[:rank], *loaders]
-            return self.catalogue.find(key, origin, asked, patience)
-        return self.catalogue.find(key, origin, plan.near, MANIFEST_PATIENCE_SECONDS)
+            timeout = MANIFEST_STAGGER_SECONDS * (rank + bool(loaders))
+            manifest_peers = [*plan.hubs[:rank], *loaders]
+            return self.catalogue.find(key, origin, manifest_peers, timeout)
+        return self.catalogue.find(key, origin, plan.near, MANIFEST_TIMEOUT_SECONDS)
 
     def join(self, key: VersionKey, holding: Holding) -> None:
-        """Take part in a version's exchange; drop what is older than needed."""
-        for old in self.catalogue.drop_old(key[0]):
-            self.exchange.leave(old.root)
+        """Join the exchange of a version, and drop versions older than needed."""
+        for dropped in self.catalogue.drop_old(key[0]):
+            self.exchange.leave(dropped.root)
         self.catalogue.retain_chunks()
         if holding.root not in self.exchange.holdings:
             self.exchange.join(holding)
--- a/src/ridgecourse/gateway/hub_context.py
+++ b/src/ridgecourse/gateway/hub_context.py
@@ -1,4 +1,4 @@
-"""A gateway's part in the exchange of weights: its memory, links and retries."""
+"""Limits of a gateway's weight transfers: memory, rate, concurrency and back-off."""
 
 from ridgecourse.core.fetches import Member, PlanPolicy
 from ridgecourse.core.ids import TargetName
@@ -15,30 +15,31 @@
 from ridgecourse.net.throttle import AdaptiveRate
 
 STORE_BYTES = 64 * 1024 * 1024
-"""Memory for chunks: some versions of a few MB."""
+"""Memory for chunks: enough for some versions of a few MB."""
 REGION_BYTES_PER_S = 1_000_000.0
-"""Asked of hubs elsewhere: two fifths of the 20 Mbit/s between two regions, which
-requests share."""
+"""Initial rate of fetches from hubs in other regions: two fifths of the 20 Mbit/s
+between two regions, which requests share."""
 UPLOAD_SLOTS = 64
-"""Chunks sent at a time: each loader of the domain asks for some."""
+"""Concurrent chunk uploads; each loader of the failure domain requests several
+chunks."""
 ORIGIN_FETCHES = 3
-"""Chunks drawn from the origin at a time: enough to keep its link busy, and few, for
-what is under way is lost when the origin goes away."""
+"""Concurrent chunk fetches from the origin: enough to saturate its link, but few, since
+chunks in transfer are lost when the origin becomes unreachable."""
 FIRST_BACK_OFF_SECONDS = 0.1
-LONGEST_BACK_OFF_SECONDS = 0.25
-"""After failures of the origin or another hub. Few ask, and each second without the
-weights after their bound is one without service."""
+MAX_BACK_OFF_SECONDS = 0.25
+"""Longest back-off after failures of the origin or another hub. Few processes retry,
+and each second without the weights after their bound is a second without service."""
 
 
 def make_hub_context(
     site: Site, events: EventStream, http: HttpClient
 ) -> ExchangeContext:
-    """Return what a gateway's transfers share.
+    """Return the resources and limits that a gateway's transfers share.
 
     Args:
         site: The settings in force.
-        events: Takes events and figures.
-        http: Client for all chunks.
+        events: Receives events and metrics.
+        http: Client for all chunk requests.
     """
     return ExchangeContext(
         me=Member(TargetName(site.host), site.domain),
@@ -55,7 +56,7 @@
             fetches=4,
             origin_fetches=ORIGIN_FETCHES,
             back_off_seconds=FIRST_BACK_OFF_SECONDS,
-            max_back_off_seconds=LONGEST_BACK_OFF_SECONDS,
+            max_back_off_seconds=MAX_BACK_OFF_SECONDS,
         ),
         rate=AdaptiveRate(REGION_BYTES_PER_S),
         source=site.host,
--- a/src/ridgecourse/gateway/left_versions.py
+++ b/src/ridgecourse/gateway/left_versions.py
@@ -1,6 +1,7 @@
-"""Versions that a hub does not draw, for a newer one is of use sooner without them.
+"""Decide which announced versions a hub skips, so that a newer one is usable sooner.
 
-What was left stays so: an origin that lost a version lacks all older ones too.
+A skipped version stays skipped, since an origin that lost a version lacks all older
+versions too.
 """
 
 from ridgecourse.cluster.view import ClusterView
@@ -11,11 +12,14 @@
 from ridgecourse.net.events import EventKind, EventStream
 
 
-class LeftVersions:
-    """Decides which named versions are left to their successors.
+class SkippedVersions:
+    """Decides which announced versions are skipped in favour of newer ones.
 
     Attributes:
-        catalogue: Knows what is held of each version; tells others what is left.
+        view: Configuration and version histories.
+        catalogue: Holdings of each version, and the skipped versions; reports these to
+            other processes.
+        events: Receives events.
     """
 
     def __init__(
@@ -25,18 +29,18 @@
         self.catalogue = catalogue
         self.events = events
 
-    def leaves(self, key: VersionKey) -> bool:
-        """Tell whether a version is not drawn any more, and remember that it is not."""
+    def is_skipped(self, key: VersionKey) -> bool:
+        """Check whether a version is to be skipped, and record a positive result."""
         if key in self.catalogue.left:
             return True
         history = self.view.history(key[0])
         newest = key[0], history.newest
         if not history.required(boottime()) < key[1] < newest[1]:
-            # Some engines may have nothing else, or there is nothing newer.
+            # Some engines may have no other version, or no newer version exists.
             return False
-        if self._is_whole(key) or newest not in self.catalogue.holdings:
+        if self._is_complete(key) or newest not in self.catalogue.holdings:
             return False
-        if self.goes_first(key, newest) is not False:
+        if self.takes_precedence(key, newest) is not False:
             return False
         self.catalogue.left.add(key)
         self.events.emit(
@@ -44,25 +48,25 @@
         )
         return True
 
-    def goes_first(self, older: VersionKey, newer: VersionKey) -> bool | None:
-        """Tell whether an older version is drawn first; None where that is open."""
-        history, draws = self.view.history(older[0]), []
+    def takes_precedence(self, older: VersionKey, newer: VersionKey) -> bool | None:
+        """Check whether an older version is fetched first; return None if unknown."""
+        history, fetches = self.view.history(older[0]), []
         for key in (older, newer):
             seconds = self.draw_seconds(key)
             bound = history.begin_by(WeightsVersion(key[1] - 1))
             if seconds is None or bound is None:
                 return None
-            draws.append(Draw(seconds, bound))
-        return goes_first(draws[0], draws[1], Seconds(boottime()))
+            fetches.append(Draw(seconds, bound))
+        return goes_first(fetches[0], fetches[1], Seconds(boottime()))
 
     def draw_seconds(self, key: VersionKey) -> float | None:
-        """Return the least time that drawing what is missing takes, if known."""
+        """Return the minimum time to fetch the missing chunks in seconds, if known."""
         holding, config = self.catalogue.holdings.get(key), self.view.config
         origin = config.origin if config is not None else None
         if holding is None or origin is None or not origin.bytes_per_s:
             return None
         return holding.missing_bytes() / origin.bytes_per_s
 
-    def _is_whole(self, key: VersionKey) -> bool:
+    def _is_complete(self, key: VersionKey) -> bool:
         holding = self.catalogue.holdings.get(key)
         return holding is not None and holding.complete
--- a/src/ridgecourse/gateway/limit_watch.py
+++ b/src/ridgecourse/gateway/limit_watch.py
@@ -1,4 +1,4 @@
-"""Takes in the limits that engines name, and tells other gateways of them."""
+"""Track the rate limits that engines report, and exchange them with other gateways."""
 
 from collections.abc import Container, Sequence
 
@@ -15,91 +15,108 @@
 from ridgecourse.net.threads import spawn_loop
 from ridgecourse.wire.control import EngineLimitNews
 
-TELL_SECONDS = 3.0
-"""Between two tellings of a limit that lasts: a fourth of the time for which it is
-remembered without."""
-REPEATS = 2
-"""How often a change is told again to some, for datagrams get lost."""
-REPEAT_SECONDS = 0.2
+ANNOUNCE_INTERVAL_SECONDS = 3.0
+"""Interval between two announcements of a limit that lasts. A limit is remembered 4
+times as long without an announcement."""
+RESEND_COUNT = 2
+"""How often a change is sent again to a sample of gateways, since datagrams get
+lost."""
+RESEND_INTERVAL_SECONDS = 0.2
 FANOUT = 3
-MOST_IN_ONE = 12
-"""Limits in a datagram."""
+MAX_PER_DATAGRAM = 12
+"""Largest number of limits in a datagram."""
 
 
 class LimitWatch:
-    """Knows the limits of engines.
+    """Tracks the rate limits of engines.
 
     Attributes:
-        limits: What is known.
-        link: Reaches other gateways.
-        refused: Engines whose limit could not be read.
+        events: Receives events and metrics.
+        link: Datagram link to other gateways.
+        limits: Known limits.
+        unreadable: Incarnations of engines whose limit could not be read.
+        thread: Thread that announces limits.
     """
 
     def __init__(self, events: EventStream, link: GatewayLink) -> None:
         self.events = events
         self.link = link
-        self.limits = EngineLimits(link.site, link.place)
-        self.refused: set[EngineLife] = set()
+        self.limits = EngineLimits(link.site, link.local)
+        self.unreadable: set[EngineLife] = set()
         self.thread: eventlet.greenthread.GreenThread | None = None
-        link.handlers[EngineLimitNews] = self._take
+        link.handlers[EngineLimitNews] = self._receive_limits
 
     def start(self) -> None:
-        """Begin to tell others."""
-        self.thread = spawn_loop(self._tell_on)
+        """Start to announce limits to other gateways."""
+        self.thread = spawn_loop(self._announce_limits)
 
     def close(self) -> None:
-        """Stop."""
+        """Stop the announcing thread."""
         if self.thread is not None:
             self.thread.kill()
 
-    def wait(self, target: ListedTarget, life: EngineLife) -> float:
+    def wait(self, target: ListedTarget, incarnation: EngineLife) -> float:
         """Return the seconds until a target may get a request; may be infinite."""
-        if not self.limits.limited(life):
+        if not self.limits.limited(incarnation):
             return 0.0
         known = self.link.known()
-        return self.limits.wait(life, target.domain, known, boottime())
+        return self.limits.wait(incarnation, target.domain, known, boottime())
 
-    def note_answer(self, life: EngineLife, head: AnswerHead) -> None:
-        """Take in the limit of an answer, or that it has none."""
+    def note_answer(self, incarnation: EngineLife, head: AnswerHead) -> None:
+        """Record the rate limit in an answer's head, or its absence."""
         if head.bad_limit:
             self.events.figures.count("bad_limits")
-            if life not in self.refused:
-                self.refused.add(life)
-                error = f"{life.target}: limit {head.bad_limit!r}"
+            if incarnation not in self.unreadable:
+                self.unreadable.add(incarnation)
+                error = (
+                    f"{incarnation.target}: cannot read rate limit {head.bad_limit!r}"
+                )
                 self.events.emit(EventKind.BAD_INPUT, error=error)
             return
-        if head.limit is None and not self.limits.limited(life):
+        if head.limit is None and not self.limits.limited(incarnation):
             return
         now = boottime()
-        if not self.limits.hear(life, head.limit, now):
+        if not self.limits.hear(incarnation, head.limit, now):
             return
-        self.events.emit(EventKind.ENGINE_LIMIT, target=life.target, rate=head.limit)
-        self._tell([self.limits.tell(life, now)], all_known=True)
-        eventlet.spawn(self._repeat, life)
-
-    def forget_gone(self, listed: Container[TargetId]) -> None:
-        """Drop what is known of engines that are no longer listed."""
+        self.events.emit(
+            EventKind.ENGINE_LIMIT, target=incarnation.target, rate=head.limit
+        )
+        self._send([self.limits.tell(incarnation, now)], to_all=True)
+        eventlet.spawn(self._resend, incarnation)
+
+    def forget_unlisted(self, listed: Container[TargetId]) -> None:
+        """Drop the limits of engines that are not listed."""
         self.limits.states.forget_unlisted(listed)
-        self.refused = {life for life in self.refused if life.target in listed}
+        self.unreadable = {
+            incarnation
+            for incarnation in self.unreadable
+            if incarnation.target in listed
+        }
 
-    def _take(self, message: EngineLimitNews) -> None:
+    def _receive_limits(self, message: EngineLimitNews) -> None:
         now = boottime()
-        for news in message.limits:
-            self.limits.hear(news.life, news.rate, Seconds(now - news.age))
+        for report in message.limits:
+            self.limits.hear(report.life, report.rate, Seconds(now - report.age))
 
-    def _repeat(self, life: EngineLife) -> None:
-        for _ in range(REPEATS):
-            eventlet.sleep(REPEAT_SECONDS)
-            if life.target in self.limits.states.lives:
-                self._tell([self.limits.tell(life, boottime())], all_known=False)
+    def _resend(self, incarnation: EngineLife) -> None:
+        for _ in range(RESEND_COUNT):
+            eventlet.sleep(RESEND_INTERVAL_SECONDS)
+            if incarnation.target in self.limits.states.lives:
+                self._send([self.limits.tell(incarnation, boottime())], to_all=False)
 
-    def _tell_on(self) -> None:
+    def _announce_limits(self) -> None:
         while True:
-            eventlet.sleep(TELL_SECONDS * (0.5 + 0.5 * self.link.random.random()))
-            self._tell(self.limits.due(boottime(), TELL_SECONDS / 2), all_known=True)
-
-    def _tell(self, news: Sequence[LimitNews], all_known: bool) -> None:
-        addresses = self.link.all() if all_known else self.link.some(FANOUT)
-        for start in range(0, len(news), MOST_IN_ONE):
-            part = list(news[start : start + MOST_IN_ONE])
-            self.link.send(EngineLimitNews(part), addresses)
+            eventlet.sleep(
+                ANNOUNCE_INTERVAL_SECONDS * (0.5 + 0.5 * self.link.random.random())
+            )
+            self._send(
+                self.limits.due(boottime(), ANNOUNCE_INTERVAL_SECONDS / 2), to_all=True
+            )
+
+    def _send(self, reports: Sequence[LimitNews], to_all: bool) -> None:
+        addresses = (
+            self.link.all_addresses() if to_all else self.link.sample_addresses(FANOUT)
+        )
+        for offset in range(0, len(reports), MAX_PER_DATAGRAM):
+            batch = list(reports[offset : offset + MAX_PER_DATAGRAM])
+            self.link.send(EngineLimitNews(batch), addresses)
--- a/src/ridgecourse/gateway/loads.py
+++ b/src/ridgecourse/gateway/loads.py
@@ -1,4 +1,4 @@
-"""Follows the engines' loads, as the loaders beside them tell."""
+"""Follow the engines' loads as reported by the loaders beside the engines."""
 
 import logging
 from contextlib import closing
@@ -37,10 +37,16 @@
     """Keeps a connection to the loader beside each listed engine.
 
     Attributes:
-        loads: What is known of each engine's load.
-        brings_weights: Whether loaders are told to take weights from here.
+        site: The settings in force.
+        hub: Records the gateways that loaders report.
+        view: Configuration and listed targets.
+        events: Receives events.
+        loads: Known load of each engine.
+        offers_weights: Whether loaders are to fetch weights from this gateway.
         engines: The followed engines, by the host of their loader.
-        reports: Takes the loaders' reports.
+        report_socket: Receives the loaders' reports as datagrams.
+        threads: Threads that update followers and receive datagrams.
+        followers: Thread that follows each engine, by the engine's address.
     """
 
     def __init__(
@@ -51,64 +57,70 @@
         self.view = view
         self.events = events
         self.loads = KnownLoads()
-        self.brings_weights = True
+        self.offers_weights = True
         self.engines: dict[str, ListedTarget] = {}
         control_port = site.peer_ports[0]
-        self.reports = DatagramSocket(Address(site.host, control_port))
+        self.report_socket = DatagramSocket(Address(site.host, control_port))
         self.threads: list[eventlet.greenthread.GreenThread] = []
         self.followers: dict[str, eventlet.greenthread.GreenThread] = {}
 
     def start(self) -> None:
-        """Begin to follow."""
-        self.reports.start()
-        self.threads.append(spawn_loop(self._keep_followers))
-        self.threads.append(spawn_loop(self._take_datagrams))
+        """Start to follow the listed engines."""
+        self.report_socket.start()
+        self.threads.append(spawn_loop(self._update_followers))
+        self.threads.append(spawn_loop(self._receive_datagrams))
 
     def close(self) -> None:
-        """Stop following."""
+        """Stop following engines."""
         for thread in [*self.threads, *self.followers.values()]:
             thread.kill()
-        self.reports.close()
+        self.report_socket.close()
 
     def withdraw(self) -> None:
-        """Tell the loaders to take weights from the next gateway in line."""
-        self.brings_weights = False
+        """Direct the loaders to fetch weights from the next gateway in rank."""
+        self.offers_weights = False
         followers, self.followers = self.followers, {}
         for follower in followers.values():
             follower.kill()
         self.view.changed.notify()
 
     def load(self, target: ListedTarget) -> EngineLoad:
-        """Return what is known of the load of an engine's latest life."""
+        """Return the known load of an engine's latest incarnation."""
         return self.loads.of(target.life)
 
     def life(self, target: ListedTarget) -> EngineLife:
-        """Return the latest life of an engine, by the list and by its reports."""
+        """Return an engine's latest incarnation, by the list and its reports."""
         return self.loads.latest(target.life)
 
-    def _keep_followers(self) -> None:
+    def _update_followers(self) -> None:
         while True:
             listed = self.view.targets.targets
             self.loads.forget_unlisted(listed)
-            # Of two at one address the later one is there.
-            by_start = sorted(listed.values(), key=lambda target: target.started or 0)
+            # Of two targets at one address, the one that started later is running.
+            by_start_time = sorted(
+                listed.values(), key=lambda target: target.started or 0
+            )
             engines = {
-                target.address: target for target in by_start if self._is_engine(target)
+                target.address: target
+                for target in by_start_time
+                if self._is_engine(target)
             }
             self.engines = {target.host: target for target in engines.values()}
-            for address in [a for a in self.followers if a not in engines]:
+            for address in [
+                address for address in self.followers if address not in engines
+            ]:
                 self.followers.pop(address).kill()
             for address, target in engines.items():
                 if address not in self.followers:
                     self.followers[address] = spawn_loop(self._follow, target)
             self.view.changed.wait()
 
-    def _take_datagrams(self) -> None:
-        """Take in reports, each newer than the one before."""
-        for host, report in self.reports.messages(EngineReport):
+    def _receive_datagrams(self) -> None:
+        """Apply each report that arrives as a datagram, unless it is outdated."""
+        for host, report in self.report_socket.messages(EngineReport):
             target = self.engines.get(host)
             if target is not None:
-                self._take(target, report)
+                self._apply_report(target, report)
 
     def _is_engine(self, target: ListedTarget) -> bool:
         config = self.view.config
@@ -116,53 +128,55 @@
         return service is not None and service.engine is not None
 
     def _follow(self, target: ListedTarget) -> None:
-        """Take in one engine's reports, over one connection after another."""
+        """Receive the reports on one engine; reconnect when the connection ends."""
         port = self.site.peer_ports[0]
         while True:
             try:
-                self._take_reports(target, f"{target.host}:{port}")
+                self._receive_reports(target, f"{target.host}:{port}")
             except ChannelClosed as error:
-                logger.debug("no reports of %s: %s", target.target, error)
+                logger.debug(
+                    "lost the report connection for %s: %s", target.target, error
+                )
             finally:
                 self.hub.forget(target.address)
             eventlet.sleep(RECONNECT_SECONDS * (0.5 + random()))
 
-    def _take_reports(self, target: ListedTarget, control_address: str) -> None:
-        limit = silence_limit(self._is_near(target))
+    def _receive_reports(self, target: ListedTarget, control_address: str) -> None:
+        receive_timeout = silence_limit(self._is_same_region(target))
         channel = open_channel(control_address, "", self.site.host)
         with closing(channel):
-            # Another life of the loader numbers its reports anew.
+            # Another incarnation of the loader numbers its reports from the start.
             self.load(target).number = 0
-            asked_at = boottime()
+            requested_at = boottime()
             channel.send(
                 Watch(
                     PROTOCOL_VERSION,
                     self.site.process,
-                    self._is_near(target),
-                    self.hub.place if self.brings_weights else None,
-                    str(self.reports.address),
-                    hears_gateways=self._tells_gateways(target),
+                    self._is_same_region(target),
+                    self.hub.place if self.offers_weights else None,
+                    str(self.report_socket.address),
+                    hears_gateways=self._needs_gateways(target),
                 )
             )
             while True:
-                report = channel.receive(LoaderReport, limit)
+                report = channel.receive(LoaderReport, receive_timeout)
                 if report is None:
                     raise ChannelClosed("silent")
                 if isinstance(report, EngineReport):
-                    self._take(self.engines.get(target.host, target), report)
+                    self._apply_report(self.engines.get(target.host, target), report)
                 elif isinstance(report, Named):
-                    self.view.date_versions(report.versions, asked_at)
+                    self.view.date_versions(report.versions, requested_at)
                     self.hub.learn(target.address, ())
                 else:
                     self.hub.learn(target.address, report.came, report.gone)
 
-    def _take(self, target: ListedTarget, report: EngineReport) -> None:
+    def _apply_report(self, target: ListedTarget, report: EngineReport) -> None:
         status, now = report.status, boottime()
-        life = EngineLife(target.target, status.started)
-        before = self.loads.of(life).status
-        if not self.loads.report(life, status, now, report.number):
+        incarnation = EngineLife(target.target, status.started)
+        previous = self.loads.of(incarnation).status
+        if not self.loads.report(incarnation, status, now, report.number):
             return
-        if before is None or (before.version, before.busy) != (
+        if previous is None or (previous.version, previous.busy) != (
             status.version,
             status.busy,
         ):
@@ -175,16 +189,17 @@
                 active=status.active,
             )
 
-    def _tells_gateways(self, target: ListedTarget) -> bool:
-        """Tell whether a loader is to tell which gateways there are.
+    def _needs_gateways(self, target: ListedTarget) -> bool:
+        """Return whether a loader is to report which gateways exist.
 
-        All loaders know the same ones. Those of the own domain tell it without the
-        links between regions; where there is none, the others have to.
+        All loaders know the same gateways. Loaders of the own failure domain report
+        them without using the links between regions. If the domain has no loader, the
+        others report them.
         """
         domains = {engine.domain for engine in self.engines.values()}
-        own = self.site.domain
-        return target.domain == own or own not in domains
+        own_domain = self.site.domain
+        return target.domain == own_domain or own_domain not in domains
 
-    def _is_near(self, target: ListedTarget) -> bool:
-        """Tell whether a target stands in the own region."""
+    def _is_same_region(self, target: ListedTarget) -> bool:
+        """Return whether a target is in the own region."""
         return self.site.region(target.domain) == self.site.region(self.site.domain)
--- a/src/ridgecourse/gateway/messages.py
+++ b/src/ridgecourse/gateway/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers as the gateway sees them, whatever their wire names."""
+"""Requests and answers as the gateway handles them, independent of the wire format."""
 
 from msgspec import Struct
 
@@ -13,21 +13,21 @@
 
 
 class CallerRequest(Struct, frozen=True):
-    """A caller's request.
+    """Request of a client.
 
     Attributes:
-        request_id: The caller's identity of this attempt.
-        method: As sent.
+        request_id: The client's identifier of this attempt.
+        method: HTTP method as sent.
         target: Path and query as sent.
-        host: Lower case, without a port.
-        headers: What is passed on unaltered.
-        wait: Seconds that the caller waits; None where it did not say.
-        key: Its API key; empty if it sent none.
-        model: Model that is asked; empty for a plain service.
-        prompt_tokens: Length of the prompt; 0 where not told.
-        answer_tokens: Longest answer asked for; 0 where not told.
-        length_hint: The caller's guess of the answer's tokens; 0 for none.
-        last_event: Event after which a stream goes on; None from its start.
+        host: Host in lower case, without a port.
+        headers: Headers that are passed on unaltered.
+        wait: The client timeout in seconds; None if the client did not state it.
+        key: API key; empty if the client sent none.
+        model: Requested model; empty for a plain service.
+        prompt_tokens: Length of the prompt; 0 if not stated.
+        answer_tokens: Longest answer requested; 0 if not stated.
+        length_hint: The client's estimate of the answer's length in tokens; 0 for none.
+        last_event: Event after which a stream is resumed; None for its start.
     """
 
     request_id: RequestId
@@ -50,15 +50,15 @@
 
 
 class SendTerms(Struct, frozen=True):
-    """What the gateway adds to a request that it passes on.
+    """Conditions that the gateway adds to a request when it forwards the request.
 
     Attributes:
-        target: The only life of the target that may run it.
-        account: The account of the caller's key; None without one.
-        wait: Seconds after which the target need not go on.
-        version: The only version of weights that may run it; None for any.
-        last_event: Event after which its stream goes on.
-        urgency: 0 goes first; None for the target's usual.
+        target: The only incarnation of the target that may run the request.
+        account: The client account of the API key; None without a key.
+        wait: Seconds after which the target may stop working on the request.
+        version: The only version of weights that may run the request; None for any.
+        last_event: Event after which the stream is resumed.
+        urgency: Urgency, 0 the highest; None for the target's default.
     """
 
     target: TargetId
@@ -70,20 +70,21 @@
 
 
 class AnswerHead(Struct, frozen=True):
-    """The head of a target's answer.
+    """Head of a target's answer.
 
     Attributes:
         status: HTTP status.
-        reason: Its text.
-        headers: What is passed on to the caller.
-        request_id: The request that it answers; empty if not told.
-        signed: Whether it carries the target's signature.
-        not_run: Whether it proves that the target did not run the request.
-        other_target: Whether another life of the target has the address, or
-            the target lacks the weights asked for.
-        events: Whether its body is a stream of events.
-        limit: Requests a second that the target takes in all; None where it names none.
-        bad_limit: What it names in place of that and cannot be read; empty for nothing.
+        reason: HTTP reason phrase.
+        headers: Headers that are passed on to the client.
+        request_id: The request that is answered; empty if not stated.
+        signed: Whether the head carries the target's signature.
+        not_run: Whether the head proves that the target did not run the request.
+        other_target: Whether another incarnation of the target has the address, or the
+            target lacks the requested weights.
+        events: Whether the body is a stream of events.
+        limit: Rate limit of the target for all senders, in requests a second; None if
+            the target reports none.
+        bad_limit: Text of a rate limit that cannot be read; empty for none.
     """
 
     status: int
@@ -99,5 +100,5 @@
 
     @property
     def success(self) -> bool:
-        """Whether the request was served."""
+        """Whether the status is between 200 and 299."""
         return 200 <= self.status < 300
--- a/src/ridgecourse/gateway/protocol.py
+++ b/src/ridgecourse/gateway/protocol.py
@@ -1,4 +1,4 @@
-"""What a platform's adapter provides to the gateway."""
+"""Interface of a platform's adapter for requests."""
 
 from abc import ABC, abstractmethod
 
@@ -12,15 +12,15 @@
 
 
 class RequestProtocol(ABC):
-    """Translates requests and answers between callers, gateway and targets."""
+    """Translates requests and answers between clients, gateway and targets."""
 
     @abstractmethod
     def decode_request(self, request: FrontRequest) -> Result[CallerRequest, Findings]:
-        """Return a caller's request, or what is wrong with its head."""
+        """Return a client's request, or the problems in its head."""
 
     @abstractmethod
     def encode_request(self, call: CallerRequest, terms: SendTerms) -> HeaderList:
-        """Return the headers with which a request goes to a target."""
+        """Return the headers with which a request is sent to a target."""
 
     @abstractmethod
     def decode_answer(self, response: BaseHTTPResponse) -> AnswerHead:
@@ -28,4 +28,4 @@
 
     @abstractmethod
     def retry_after(self, seconds: float) -> HeaderList:
-        """Return the headers that tell a caller when to come back."""
+        """Return the headers that tell a client when to retry."""
--- a/src/ridgecourse/gateway/relay.py
+++ b/src/ridgecourse/gateway/relay.py
@@ -1,4 +1,4 @@
-"""Streams of events: passed on event by event, resumed where one breaks off."""
+"""Split the body of an event stream into complete events."""
 
 from collections.abc import Iterable, Iterator
 from re import compile as compile_pattern
@@ -10,11 +10,11 @@
 
 
 class StreamEvent(Struct, frozen=True):
-    """One whole event.
+    """One complete event.
 
     Attributes:
-        data: Its bytes, with the empty line that ends it.
-        number: Its id; None where it has none.
+        data: Bytes of the event, with the empty line that ends it.
+        number: Id of the event; None without one.
     """
 
     data: bytes
@@ -22,23 +22,23 @@
 
 
 def split_events(pieces: Iterable[bytes]) -> Iterator[StreamEvent]:
-    """Yield the events of a body as they come, each only once it is whole.
+    """Yield the events of a body as they arrive, each once it is complete.
 
-    An event that broke off must not reach a caller, for its bytes would join
-    those of the next one. What a body that did not break off has after its last
-    event is yielded as it is.
+    If the stream is interrupted, the incomplete last event must not reach the client,
+    since its bytes would join those of the next event. If the body ends regularly,
+    bytes after its last event are yielded unaltered.
     """
-    rest = b""
+    remainder = b""
     for piece in pieces:
-        rest += piece
-        while match := EVENT_END.search(rest):
-            data, rest = rest[: match.end()], rest[match.end() :]
+        remainder += piece
+        while match := EVENT_END.search(remainder):
+            data, remainder = remainder[: match.end()], remainder[match.end() :]
             yield StreamEvent(data, event_number(data))
-    if rest:
-        yield StreamEvent(rest, None)
+    if remainder:
+        yield StreamEvent(remainder, None)
 
 
 def event_number(data: bytes) -> int | None:
-    """Return the id of an event."""
+    """Return the id of an event, or None without one."""
     match = ID_LINE.search(data)
     return int(match.group(1)) if match else None
--- a/src/ridgecourse/gateway/selection.py
+++ b/src/ridgecourse/gateway/selection.py
@@ -1,4 +1,4 @@
-"""Which target gets a request: where it begins soonest, near ones first."""
+"""Select the target that can start a request first, preferring near targets."""
 
 from collections import defaultdict
 from collections.abc import Collection
@@ -30,24 +30,25 @@
 from ridgecourse.net.clock import boottime
 
 PLAIN_REQUEST_SECONDS = 0.06
-"""Estimated time of a plain service's request, until its targets report loads."""
-MISSING_WEIGHTS_SECONDS = 1.0
-"""How long a target is left alone after it said that it lacks the weights; its
-entry in the list lags by about a heartbeat."""
-HOLD_SECONDS = 0.25
-"""Longest wait for a target's limit: about as soon a caller that is refused would be
-back."""
-REFUSED_SECONDS = 0.15
-"""How long a target is left alone after it refused a request, unless it reports."""
+"""Estimated time of a plain service's request, while its targets report no loads."""
+MISSING_WEIGHTS_PAUSE_SECONDS = 1.0
+"""How long no request is sent to a target that answered that it lacks the weights. The
+target's entry in the list lags by about one heartbeat."""
+MAX_LIMIT_DELAY_SECONDS = 0.25
+"""Longest wait for a target's rate limit: about the time after which a refused client
+would retry."""
+REFUSED_PAUSE_SECONDS = 0.15
+"""How long no request is sent to a target after a refusal, unless the target
+reports its load."""
 
 
 class VersionTerms(Struct, frozen=True):
-    """On which weights a request may run.
+    """Weights on which a request may run.
 
     Attributes:
-        held: The version that the engine is taken to have; None if it is not known.
-        version: The only version; None for the one that the engine has.
-        begin_by: When it must have begun on that; None for any time.
+        held: The version that the engine is assumed to have; None if it is not known.
+        version: The only allowed version; None for the version that the engine has.
+        begin_by: Latest start on these weights; None for any time.
     """
 
     held: WeightsVersion | None
@@ -56,14 +57,14 @@
 
 
 class Choice(Struct, frozen=True):
-    """A target for a request.
+    """A target that is a candidate for a request.
 
     Attributes:
         target: The target.
-        wait: Estimated seconds until the request would begin there.
-        reading: Seconds that the target would read its prompt for.
-        terms: On which weights it may run.
-        hold: Seconds until it may be sent, where the target names a limit.
+        wait: Estimated seconds until the request would start at the target.
+        reading: Estimated seconds in which the target processes the prompt.
+        terms: Weights on which the request may run.
+        hold: Seconds until the target's rate limit allows the request.
     """
 
     target: ListedTarget
@@ -74,48 +75,51 @@
 
 
 class TargetSelector:
-    """Chooses targets.
+    """Selects the target of each send.
 
     Attributes:
-        states: What was seen of each target.
-        watcher: Knows the engines' loads.
-        lag: By how much this process is late for its timers.
-        limits: Knows which targets name a limit.
-        delays: By how much first events are late against the estimates, by service.
+        site: The settings in force.
+        view: Configuration and listed targets.
+        load_watcher: Provides the engines' loads.
+        lag: Recent peak delay of timers in this process.
+        limit_watch: Tracks the rate limits that targets report.
+        random: Spreads requests among similar targets.
+        delays: Delay of first events beyond the estimates, by service.
+        states: Health observed for each target.
     """
 
     def __init__(
         self,
         site: Site,
         view: ClusterView,
-        watcher: LoadWatcher,
+        load_watcher: LoadWatcher,
         lag: RecentPeak,
         random: Random,
-        limits: LimitWatch,
+        limit_watch: LimitWatch,
     ) -> None:
         self.site = site
         self.view = view
-        self.watcher = watcher
+        self.load_watcher = load_watcher
         self.lag = lag
-        self.limits = limits
+        self.limit_watch = limit_watch
         self.random = random
         self.delays: dict[ServiceName, FirstEventDelay] = defaultdict(FirstEventDelay)
         self.states = TargetStates()
 
     def state(self, target: ListedTarget) -> TargetState:
-        """Return what was seen of the latest life of a target."""
+        """Return the observed health of a target's latest incarnation."""
         return self.states.of(self.life(target))
 
     def life(self, target: ListedTarget) -> EngineLife:
-        """Return the latest life of a target."""
-        return self.watcher.life(target)
+        """Return the latest incarnation of a target."""
+        return self.load_watcher.life(target)
 
     def load(self, target: ListedTarget) -> EngineLoad:
-        """Return what is known of a target's load."""
-        return self.watcher.load(target)
+        """Return the known load of a target."""
+        return self.load_watcher.load(target)
 
     def fill(self, target: ListedTarget, now: Seconds) -> float:
-        """Return the requests at a target as a share of its slots."""
+        """Return the number of requests at a target as a share of its slots."""
         return self.load(target).requests(now, SENDERS) / max(1, target.slots)
 
     def choose(
@@ -125,60 +129,69 @@
         tried: Collection[EngineLife],
         avoided: Collection[EngineLife] = (),
     ) -> Choice | None:
-        """Return the target for a request, or None where there is none.
+        """Return the target for a request, or None if there is none.
 
-        Where all name limits, that is one whose ``hold`` is too long to wait for.
+        If all targets have rate limits, the ``hold`` of the result may exceed
+        ``MAX_LIMIT_DELAY_SECONDS``; the request is then not sent.
 
         Args:
-            service: The service that answers.
+            service: The service that is requested.
             call: The request.
-            tried: Lives of targets that have had the request.
-            avoided: Lives that get it only where there is no other.
+            tried: Incarnations that have received the request.
+            avoided: Incarnations that get the request only if there is no other.
         """
         now = boottime()
-        able = [
+        eligible = [
             target
             for target in self.view.serving(service.name)
             if not (tried and self.life(target) in tried)
-            and self._is_able(service, target, now)
+            and self._can_serve(service, target, now)
         ]
-        choices = [self._weigh(service, call, target, now) for target in able]
+        choices = [self._weigh(service, call, target, now) for target in eligible]
         choices = [choice for choice in choices if not self._is_outdated(choice, now)]
-        ready = [choice for choice in choices if choice.hold <= HOLD_SECONDS]
-        if choices and not ready:
+        admissible = [
+            choice for choice in choices if choice.hold <= MAX_LIMIT_DELAY_SECONDS
+        ]
+        if choices and not admissible:
             return min(choices, key=lambda choice: choice.hold)
-        choices = ready
-        # Those with weights that may serve now go before those that may have them.
+        choices = admissible
+        # Targets whose weights are known to be allowed take precedence over targets
+        # that may have received such weights.
         current = [choice for choice in choices if choice.terms.version is None]
         choices = current or choices
         if avoided:
-            apart = [c for c in choices if self.life(c.target) not in avoided]
-            choices = apart or choices
-        free = [c for c in choices if self.state(c.target).not_before <= now]
-        if not free:
+            not_avoided = [
+                choice for choice in choices if self.life(choice.target) not in avoided
+            ]
+            choices = not_avoided or choices
+        available = [
+            choice for choice in choices if self.state(choice.target).not_before <= now
+        ]
+        if not available:
             return min(
                 choices,
                 key=lambda choice: self.state(choice.target).not_before,
                 default=None,
             )
-        return min(free, key=self._cost)
+        return min(available, key=self._cost)
 
-    def _is_able(self, service: Service, target: ListedTarget, now: Seconds) -> bool:
-        """Tell whether a target has weights and takes new requests."""
+    def _can_serve(self, service: Service, target: ListedTarget, now: Seconds) -> bool:
+        """Check whether a target has weights and accepts new requests."""
         if service.engine is None or not service.engine.layers:
             return True
         load = self.load(target)
         if load.status is not None and load.is_fresh(now):
             return load.status.version > 0 and not load.status.busy
-        # A new life holds nothing of what the list says of the one before.
+        # The list describes an earlier incarnation, whose weights a new incarnation
+        # lacks.
         return not target.life.is_before(self.life(target)) and target.holds_model(
             service.engine.layers
         )
 
     def _is_outdated(self, choice: Choice, now: Seconds) -> bool:
-        """Tell whether an engine has just reported weights that are too old.
+        """Check whether an engine has just reported weights that are too old.
 
-        Only without a fresh report is it worth asking whether it has others.
+        An engine is asked for other weights only if there is no fresh report.
         """
         if choice.terms.version is None:
             return False
@@ -192,7 +205,7 @@
     ) -> Choice:
         load = self.load(target)
         reading = 0.0
-        hold = self.limits.wait(target, self.life(target))
+        hold = self.limit_watch.wait(target, self.life(target))
         if service.engine is None:
             wait = load.outstanding * PLAIN_REQUEST_SECONDS / max(1, target.slots)
         else:
@@ -203,10 +216,12 @@
 
     def _cost(self, choice: Choice) -> float:
         target = choice.target
-        near = self.site.region(target.domain) == self.site.region(self.site.domain)
+        is_near = self.site.region(target.domain) == self.site.region(self.site.domain)
         now = boottime()
         load = self.load(target)
-        return placement_cost(load, choice.wait, target.slots, near, now, self.random)
+        return placement_cost(
+            load, choice.wait, target.slots, is_near, now, self.random
+        )
 
     # Weights.
 
@@ -224,24 +239,27 @@
     def _version_terms(
         self, model: ModelName, target: ListedTarget, now: Seconds, wait: float
     ) -> VersionTerms:
-        """Return on which weights a request may run at a target.
+        """Return the weights on which a request may run at a target.
 
-        An engine whose weights are too old by what is known may have newer ones
-        by now; it is asked for the newest and refuses if it has not.
+        An engine whose last known weights are too old may have received newer weights.
+        The request then names the newest version, and the engine refuses the request if
+        it lacks that version.
         """
         held = self._held_version(model, target, now)
-        # Of which nothing is known may have the oldest weights.
+        # An engine of which nothing is known may have the oldest weights.
         bound = self.view.history(model).begin_by(held or FIRST_VERSION)
         if bound is None:
             return VersionTerms(held, None, None)
-        way = max(self.state(target).ways.expect(now), self.load(target).way(now))
-        begin_by = TakeBack(way, self.lag.expect(now)).begin_by(bound)
+        network_delay = max(
+            self.state(target).ways.expect(now), self.load(target).way(now)
+        )
+        begin_by = TakeBack(network_delay, self.lag.expect(now)).begin_by(bound)
         delay = self.delays[target.service].expect(now)
         if may_wait(now, wait, delay, begin_by):
             return VersionTerms(held, None, begin_by)
         return VersionTerms(held, self.view.wanted_version(model), None)
 
-    def forget_gone(self) -> None:
-        """Drop what was seen of targets that are no longer listed."""
-        self.limits.forget_gone(self.view.targets.targets)
+    def forget_unlisted(self) -> None:
+        """Drop the state of targets that are not listed."""
+        self.limit_watch.forget_unlisted(self.view.targets.targets)
         self.states.retain(self.view.targets.targets, boottime())
--- a/src/ridgecourse/gateway/sender.py
+++ b/src/ridgecourse/gateway/sender.py
@@ -1,4 +1,4 @@
-"""Sends one request to one target and tells what came of it."""
+"""Send one request to one target and classify the result."""
 
 from collections.abc import Callable, Iterator
 
@@ -23,29 +23,31 @@
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.exchange import Broken, Disconnected, Exchange, NotSent, TooLate
 
-CONNECT_SECONDS = 0.3
-"""Longest wait for a connection: some 30 round trips between the farthest
-domains, and well below the objective of any route seen (400 ms)."""
-RETURN_SECONDS = 0.02
-"""Left of the deadline for the answer's way back to the caller."""
+CONNECT_TIMEOUT_SECONDS = 0.3
+"""Longest wait for a connection: some 30 round trips between the farthest failure
+domains, and well below the objective of any known route (400 ms)."""
+RETURN_MARGIN_SECONDS = 0.02
+"""Part of the deadline reserved for the transfer of the answer to the client."""
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
 
 
-class Order(Struct):
-    """A request with what was decided about it.
+class RoutedRequest(Struct):
+    """A request with its route's decisions and limits.
 
     Attributes:
-        call: The request.
-        body: Its body; None if it has none.
-        account: The account that it is charged to.
-        deadline: When it must have been answered.
-        version: The only version of weights that may run it; None for any.
-        begin_by: When it must have begun; None for any time.
-        last_event: Event after which its stream goes on.
-        signature: What it asks, the same for each time that it comes.
-        waited: Seconds that its caller waited before it asked here.
-        excess: Seconds by which its wait would be too long, if it is refused.
-        is_abandoned: Tells whether the caller has gone.
+        call: The client's request.
+        body: Body; None if the request has none.
+        account: The client account that the request is charged to.
+        deadline: Time by which the request must be answered.
+        version: The only version of weights that may run the request; None for any.
+        begin_by: Latest start at the target; None for any time.
+        last_event: Event after which the stream is resumed.
+        signature: Digest of the request's content, equal for each retry.
+        waited: Seconds that the client waited before it sent the request to this
+            gateway.
+        excess: Seconds by which the estimated wait exceeds the limit, if the request is
+            shed.
+        is_abandoned: Returns whether the client has disconnected.
     """
 
     call: CallerRequest
@@ -62,13 +64,13 @@
 
 
 class NotRun(Struct, frozen=True):
-    """The target did not run the request and never will.
+    """The target did not run the request and will not run it.
 
     Attributes:
-        reason: Why.
-        detail: What was seen.
+        reason: Reason code.
+        detail: Description of the observed cause.
         arrived: Whether the request reached the target.
-        come_back: Seconds after which its caller may come back, where that is known.
+        come_back: Seconds after which the client may retry, if known.
     """
 
     reason: Reason
@@ -81,9 +83,9 @@
     """The request may have run.
 
     Attributes:
-        detail: What was seen.
-        late: Whether its time ran out.
-        disconnected: Whether the target ended the connection.
+        detail: Description of the observed cause.
+        late: Whether the deadline expired.
+        disconnected: Whether the target closed the connection.
     """
 
     detail: str
@@ -92,22 +94,23 @@
 
 
 class Whole(Struct, frozen=True):
-    """The target's whole answer."""
+    """The complete answer of the target."""
 
     head: AnswerHead
     body: bytes
 
 
 class Stream(Struct):
-    """An answer whose first event has come.
+    """A streamed answer whose first event has arrived.
 
     Attributes:
-        head: Its head.
-        events: Its events, the first included; raises ``Broken`` where the
-            stream breaks off.
-        exchange: Its connection, closed by whoever reads the events.
-        load: Load that it counts to until it ends; of the life that sends it.
-        flight: Its request at the engine.
+        head: Head of the answer.
+        events: All events of the answer; raises ``Broken`` if the stream is
+            interrupted.
+        exchange: Connection of the stream; the reader of the events closes it.
+        load: Load of the incarnation that sends the stream; counts the request until
+            the stream ends.
+        flight: The request at the engine.
     """
 
     head: AnswerHead
@@ -128,26 +131,26 @@
 
     def send(
         self,
-        order: Order,
+        routed: RoutedRequest,
         target: ListedTarget,
-        ways: RecentPeak,
+        network_delay: RecentPeak,
         on_head: Callable[[AnswerHead], None],
     ) -> SendResult:
-        """Send a request to a target and wait for its answer's beginning.
+        """Send a request to a target and wait for the start of the answer.
 
         Args:
-            order: The request.
+            routed: The request.
             target: The target.
-            ways: Takes how long the connection took to come up.
-            on_head: Takes the head of an answer, of whatever kind.
+            network_delay: Records the time in which the connection was established.
+            on_head: Called with the head of an answer, whatever its status.
         """
-        exchange = Exchange(target.address, order.deadline)
+        exchange = Exchange(target.address, routed.deadline)
         result: SendResult | None = None
         try:
-            longer = self._connect(exchange, ways)
-            if order.begin_by is not None:
-                order.begin_by = Seconds(order.begin_by - longer)
-            result = self._exchange(exchange, order, target, on_head)
+            extra_delay = self._connect(exchange, network_delay)
+            if routed.begin_by is not None:
+                routed.begin_by = Seconds(routed.begin_by - extra_delay)
+            result = self._exchange(exchange, routed, target, on_head)
         except NotSent as error:
             result = NotRun(Reason.UNREACHABLE, str(error), arrived=False)
         except TooLate as error:
@@ -163,66 +166,66 @@
                 exchange.abandon()
         return result
 
-    def _connect(self, exchange: Exchange, ways: RecentPeak) -> float:
-        """Connect; return by how many seconds the way is longer than reckoned."""
-        begun = boottime()
-        known = ways.expect(begun)
+    def _connect(self, exchange: Exchange, network_delay: RecentPeak) -> float:
+        """Connect; return the seconds by which connecting took longer than expected."""
+        started_at = boottime()
+        expected = network_delay.expect(started_at)
         try:
-            exchange.connect(min(CONNECT_SECONDS, exchange.remaining()))
+            exchange.connect(min(CONNECT_TIMEOUT_SECONDS, exchange.remaining()))
         finally:
             now = boottime()
-            ways.observe(now - begun, now)
-        return max(0.0, now - begun - known)
+            network_delay.observe(now - started_at, now)
+        return max(0.0, now - started_at - expected)
 
     def _exchange(
         self,
         exchange: Exchange,
-        order: Order,
+        routed: RoutedRequest,
         target: ListedTarget,
         on_head: Callable[[AnswerHead], None],
     ) -> SendResult:
-        if order.begin_by is not None and boottime() >= order.begin_by:
-            # The way took so long that the request would begin too late.
+        if routed.begin_by is not None and boottime() >= routed.begin_by:
+            # Connecting took so long that the request would start too late.
             return NotRun(Reason.WRONG_TARGET, "not begun in time", arrived=False)
-        call = order.call
+        call = routed.call
         terms = SendTerms(
             target=target.target,
-            account=order.account,
-            wait=exchange.remaining() - RETURN_SECONDS,
-            version=order.version,
-            last_event=order.last_event,
+            account=routed.account,
+            wait=exchange.remaining() - RETURN_MARGIN_SECONDS,
+            version=routed.version,
+            last_event=routed.last_event,
             urgency=None,
         )
         headers = self.protocol.encode_request(call, terms)
-        exchange.send(call.method, call.target, headers, order.body)
-        head = self.protocol.decode_answer(exchange.receive_head(order.begin_by))
+        exchange.send(call.method, call.target, headers, routed.body)
+        head = self.protocol.decode_answer(exchange.receive_head(routed.begin_by))
         on_head(head)
         if head.not_run:
             detail = f"status {head.status}"
             reason = Reason.WRONG_TARGET if head.other_target else Reason.OVERLOADED
             return NotRun(reason, detail, arrived=True)
         if head.request_id != call.request_id:
-            return Unknown(f"answer to {head.request_id!r}", late=False)
+            return Unknown(f"the answer is for request {head.request_id!r}", late=False)
         if head.success and not head.signed:
-            return Unknown("success without a signature", late=False)
+            return Unknown("the successful answer is not signed", late=False)
         if head.success and head.events:
             return self._stream(exchange, head)
         return Whole(head, exchange.read_whole(MAX_ANSWER_BYTES))
 
     def _stream(self, exchange: Exchange, head: AnswerHead) -> Stream:
         events = split_events(exchange.read_pieces(MAX_ANSWER_BYTES))
-        first = next(events, None)
-        return Stream(head, _chain(first, events), exchange)
+        first_event = next(events, None)
+        return Stream(head, _prepend(first_event, events), exchange)
 
 
-def _chain(
-    first: StreamEvent | None, rest: Iterator[StreamEvent]
+def _prepend(
+    first_event: StreamEvent | None, remainder: Iterator[StreamEvent]
 ) -> Iterator[StreamEvent]:
-    if first is not None:
-        yield first
-    yield from rest
+    if first_event is not None:
+        yield first_event
+    yield from remainder
 
 
 def time_left(deadline: Seconds) -> float:
-    """Return the seconds until a deadline; negative once it is over."""
+    """Return the seconds until a deadline; negative after it."""
     return deadline - boottime()
--- a/src/ridgecourse/gateway/stream_relay.py
+++ b/src/ridgecourse/gateway/stream_relay.py
@@ -1,4 +1,4 @@
-"""Passes streams on to callers, and lets other targets go on with them."""
+"""Relay event streams to clients, and resume interrupted streams at other targets."""
 
 from collections.abc import Callable, Iterator
 
@@ -7,87 +7,94 @@
 from ridgecourse.gateway.dispatcher import Dispatcher
 from ridgecourse.gateway.messages import CallerRequest
 from ridgecourse.gateway.relay import StreamEvent
-from ridgecourse.gateway.sender import Order, Stream
+from ridgecourse.gateway.sender import RoutedRequest, Stream
 from ridgecourse.gateway.terms import Terms
 from ridgecourse.net.exchange import Broken, Disconnected, TooLate
 from ridgecourse.net.front_server import FrontRequest
 
 
-class AnswerTorn(Exception):
-    """A stream broke off; its connection ends without the final chunk."""
+class StreamInterrupted(Exception):
+    """A stream was interrupted; the connection ends without the final chunk."""
 
 
 class StreamRelay:
-    """Passes streams on.
+    """Relays event streams to clients.
 
     Attributes:
-        note_end: Called with how a request ended.
+        dispatcher: Resumes interrupted streams at other targets.
+        on_end: Called with the outcome of each stream.
     """
 
     def __init__(
         self,
         dispatcher: Dispatcher,
-        note_end: Callable[[CallerRequest, Outcome, str, int | None], None],
+        on_end: Callable[[CallerRequest, Outcome, str, int | None], None],
     ) -> None:
         self.dispatcher = dispatcher
-        self.note_end = note_end
+        self.on_end = on_end
 
     def relay(
         self,
         request: FrontRequest,
-        order: Order,
+        routed: RoutedRequest,
         terms: Terms,
         tried: set[EngineLife],
         stream: Stream,
     ) -> Iterator[bytes]:
-        """Yield a stream's events, resumed at another target if one is lost."""
-        call = order.call
+        """Yield a stream's events, resumed at another target after an interruption.
+
+        Raises:
+            StreamInterrupted: The stream was interrupted and could not be resumed.
+        """
+        call = routed.call
         outcome, why = Outcome.UNKNOWN, "caller gone"
         try:
             with request.watched():
                 while True:
                     try:
-                        for event in self._events(order, stream):
+                        for event in self._new_events(routed, stream):
                             yield event.data
-                        outcome, why = Outcome.COMPLETED, "stream whole"
+                        outcome, why = Outcome.COMPLETED, "stream complete"
                         return
                     except Broken as error:
-                        why = f"stream broke off: {error}"
-                        resumed = self._resume(order, terms, tried, error)
+                        why = f"stream interrupted: {error}"
+                        resumed = self._resume(routed, terms, tried, error)
                     if resumed is None:
-                        raise AnswerTorn(why)
+                        raise StreamInterrupted(why)
                     stream = resumed
         finally:
-            self.note_end(call, outcome, why, order.last_event)
+            self.on_end(call, outcome, why, routed.last_event)
 
-    def _events(self, order: Order, stream: Stream) -> Iterator[StreamEvent]:
-        """Yield a target's events that the caller has not had yet."""
+    def _new_events(
+        self, routed: RoutedRequest, stream: Stream
+    ) -> Iterator[StreamEvent]:
+        """Yield a target's events that the client has not received."""
         try:
             for event in stream.events:
-                last = order.last_event
+                last_sent = routed.last_event
                 if event.number is not None:
-                    if last is not None and event.number <= last:
+                    if last_sent is not None and event.number <= last_sent:
                         continue
-                    order.last_event = event.number
+                    routed.last_event = event.number
                 yield event
             if stream.flight is not None:
-                self.dispatcher.crashes.note_success(stream.flight)
+                self.dispatcher.crash_watch.note_success(stream.flight)
         except Disconnected:
             if stream.flight is not None:
-                self.dispatcher.crashes.note_disconnect(stream.flight)
+                self.dispatcher.crash_watch.note_disconnect(stream.flight)
             raise
         finally:
             if stream.load is not None:
                 stream.load.outstanding -= 1
             if stream.flight is not None:
-                self.dispatcher.crashes.finish(stream.flight)
+                self.dispatcher.crash_watch.finish(stream.flight)
             stream.exchange.close()
 
     def _resume(
-        self, order: Order, terms: Terms, tried: set[EngineLife], error: Broken
+        self, routed: RoutedRequest, terms: Terms, tried: set[EngineLife], error: Broken
     ) -> Stream | None:
-        """Let another target go on with a stream; None where that can't be."""
+        """Return the rest of a stream from another target; None if impossible."""
         if not terms.route.resumable or isinstance(error, TooLate):
             return None
-        result = self.dispatcher.try_targets(order, terms, tried)
+        result = self.dispatcher.try_targets(routed, terms, tried)
         return result if isinstance(result, Stream) else None
--- a/src/ridgecourse/gateway/terms.py
+++ b/src/ridgecourse/gateway/terms.py
@@ -1,4 +1,4 @@
-"""What the configuration says of a request."""
+"""Find the route, service and client account of a request in the configuration."""
 
 from random import Random
 
@@ -11,7 +11,7 @@
 
 
 class Terms(Struct, frozen=True):
-    """The terms on which a request is served."""
+    """Route, service and client account by which a request is served."""
 
     route: Route
     service: Service
@@ -19,11 +19,11 @@
 
 
 class Rejection(Struct, frozen=True):
-    """Why a configuration does not allow a request.
+    """Reason for which the configuration does not allow a request.
 
     Attributes:
-        status: HTTP status for the caller.
-        why: For the caller and the log.
+        status: HTTP status for the client.
+        why: Message for the client and the event log.
     """
 
     status: int
@@ -33,18 +33,19 @@
 NO_ROUTE = Rejection(404, "no route")
 UNKNOWN_KEY = Rejection(401, "key")
 UNKNOWN_SERVICE = Rejection(503, "unknown service")
-"""A route names a service that the configuration lacks; the next one may have it."""
+"""The route names a service that the configuration lacks; a newer configuration may
+have the service."""
 
 
 def find_terms(
     call: CallerRequest, config: RoutingConfig, random: Random
 ) -> Result[Terms, Rejection]:
-    """Return a request's terms, or why there are none.
+    """Return the terms of a request, or the reason for a rejection.
 
     Args:
         call: The request.
         config: The configuration in force.
-        random: Chooses among the services of a split route.
+        random: Selects among the services of a split route.
     """
     route = config.find_route(call.host, call.path)
     if route is None:
@@ -61,7 +62,7 @@
 
 
 def pick_service(route: Route, random: Random) -> ServiceName:
-    """Return the service that answers, by the route's shares."""
+    """Return one of a route's services, selected by their shares."""
     if len(route.services) == 1:
         return route.services[0].service
     weights = [share.weight for share in route.services]
--- a/src/ridgecourse/gateway/told_gateways.py
+++ b/src/ridgecourse/gateway/told_gateways.py
@@ -1,4 +1,4 @@
-"""Which processes a gateway knows, and whom it takes versions and records from."""
+"""Track the processes that a gateway knows and may fetch versions and records from."""
 
 from collections.abc import Iterable, Mapping, Sequence
 
@@ -15,18 +15,18 @@
 from ridgecourse.exchange.catalogue import VersionKey
 from ridgecourse.net.clock import boottime
 
-AT_LOADERS_SECONDS = 3.0
-"""From a version's name until loaders hold enough of it to be worth following: until
-then all of it comes from the origin by way of the hubs."""
+LOADER_HOLDING_DELAY_SECONDS = 3.0
+"""Time from a version's announcement until loaders hold enough of the version to be
+useful sources. Until then all chunks come from the origin through the hubs."""
 
 
-class ToldGateways:
-    """Gateways by the loader that told of them.
+class AnnouncedGateways:
+    """Gateways by the loader that reported them.
 
     Attributes:
-        by_loader: By the loader's address, then by name; empty for a loader that is
-            connected and tells of none.
-        gateways: All of them, each once; None where that is to be gathered anew.
+        by_loader: Gateways by name, for each loader's address; empty for a connected
+            loader that reports none.
+        gateways: Cached union of all reported gateways; None if it must be recomputed.
     """
 
     def __init__(self) -> None:
@@ -34,97 +34,102 @@
         self.gateways: dict[TargetName, Peer] | None = None
 
     def __contains__(self, loader: str) -> bool:
-        """Tell whether a loader is connected."""
+        """Check whether a loader is connected."""
         return loader in self.by_loader
 
     def learn(
-        self, loader: str, came: Iterable[Peer], gone: Iterable[TargetName]
+        self, loader: str, added: Iterable[Peer], removed: Iterable[TargetName]
     ) -> None:
-        """Take in a loader that is connected, and which gateways came and went."""
-        told = self.by_loader.setdefault(loader, {})
+        """Record a connected loader and the gateways it reports added or removed."""
+        loader_gateways = self.by_loader.setdefault(loader, {})
         self.gateways = None
-        told.update((peer.name, peer) for peer in came)
-        for name in gone:
-            told.pop(name, None)
+        loader_gateways.update((peer.name, peer) for peer in added)
+        for name in removed:
+            loader_gateways.pop(name, None)
 
     def forget(self, loader: str) -> None:
-        """Drop what a loader told, which is lost or will tell it anew."""
+        """Drop the gateways reported by a loader that disconnected or reports anew."""
         self.by_loader.pop(loader, None)
         self.gateways = None
 
     def known(self) -> list[Peer]:
-        """Return all gateways, each once."""
+        """Return all reported gateways without duplicates."""
         return list(self._gather().values())
 
-    def count_with(self, me: Peer) -> int:
-        """Return how many gateways there are, one of them included in any case."""
+    def count_including(self, local: Peer) -> int:
+        """Return the number of gateways, always counting the local peer."""
         gateways = self._gather()
-        return len(gateways) + (me.name not in gateways)
+        return len(gateways) + (local.name not in gateways)
 
     def _gather(self) -> dict[TargetName, Peer]:
-        """Return all gateways by name; each request and datagram asks for them."""
+        """Return all gateways by name; cached, as requests and datagrams need it."""
         if self.gateways is None:
             self.gateways = {
                 gateway.name: gateway
-                for told in self.by_loader.values()
-                for gateway in told.values()
+                for loader_gateways in self.by_loader.values()
+                for gateway in loader_gateways.values()
             }
         return self.gateways
 
-    def has_neighbour(self, me: Peer) -> bool:
-        """Tell whether there is another gateway in a gateway's domain."""
+    def has_other_in_domain(self, local: Peer) -> bool:
+        """Check whether the local peer's domain has another gateway."""
         return any(
-            gateway.domain == me.domain and gateway != me for gateway in self.known()
+            gateway.domain == local.domain and gateway != local
+            for gateway in self.known()
         )
 
 
-class HubPeers:
-    """The processes around one gateway, as far as they are known.
+class KnownPeers:
+    """The processes that one gateway knows.
 
     Attributes:
-        told: Gateways that connected loaders tell of.
-        place: Where others find this gateway.
+        site: The settings in force.
+        view: Version histories and listed targets.
+        announced: Gateways that connected loaders report.
+        local: The local peer.
     """
 
     def __init__(
-        self, site: Site, view: ClusterView, told: ToldGateways, place: Peer
+        self, site: Site, view: ClusterView, announced: AnnouncedGateways, local: Peer
     ) -> None:
         self.site = site
         self.view = view
-        self.told = told
-        self.place = place
+        self.announced = announced
+        self.local = local
 
     def loaders(self) -> Iterable[Peer]:
         """Return the loaders that this gateway is connected to."""
         control_port = self.site.peer_ports[0]
-        engines = [
+        connected = [
             target
             for target in self.view.targets.targets.values()
-            if target.address in self.told
+            if target.address in self.announced
         ]
-        return loader_peers(engines, (control_port + 1, control_port)).values()
+        return loader_peers(connected, (control_port + 1, control_port)).values()
 
     def loaders_that_may_hold(self, key: VersionKey) -> Sequence[Peer]:
         """Return the loaders of the domain if they may hold chunks of a version."""
-        then = Seconds(boottime() - AT_LOADERS_SECONDS)
-        if not self.view.history(key[0]).was_named_before(key[1], then):
+        named_before = Seconds(boottime() - LOADER_HOLDING_DELAY_SECONDS)
+        if not self.view.history(key[0]).was_named_before(key[1], named_before):
             return []
         return [peer for peer in self.loaders() if peer.domain == self.site.domain]
 
     def sources(self, key: VersionKey, plan: HubPlan) -> Mapping[TargetName, Peer]:
-        """Return whom to take a version from.
+        """Return the processes to fetch a version from.
 
-        A hub that starts late takes what the loaders of its domain have already. With
-        nothing but other hubs to follow, one that was killed with its successor waited
-        for 6 s beside loaders that held two thirds of the version.
+        A hub that starts late fetches the chunks that the loaders of its domain already
+        have. With only other hubs as sources, a hub that was killed together with its
+        standby hub waited for 6 s beside loaders that held two thirds of the version.
         """
-        if self.place not in plan.hubs:
-            return plan.sources(self.place)
+        if self.local not in plan.hubs:
+            return plan.sources(self.local)
         loaders = self.loaders_that_may_hold(key)
-        return {**{peer.name: peer for peer in loaders}, **plan.sources(self.place)}
+        return {**{peer.name: peer for peer in loaders}, **plan.sources(self.local)}
 
-    def for_records(self) -> Sequence[str]:
-        """Return whom to ask for the store's records, the nearest first."""
-        known = nearest_first([*self.loaders(), *self.told.known()], self.place)
-        seeds = seed_peers(self.site.seeds, self.site.peer_ports[0] + 1)
-        return list(dict.fromkeys([*known, *seeds]))
+    def record_addresses(self) -> Sequence[str]:
+        """Return the addresses to request the store's records from, nearest first."""
+        known_addresses = nearest_first(
+            [*self.loaders(), *self.announced.known()], self.local
+        )
+        seed_addresses = seed_peers(self.site.seeds, self.site.peer_ports[0] + 1)
+        return list(dict.fromkeys([*known_addresses, *seed_addresses]))
--- a/src/ridgecourse/gateway/warm_up.py
+++ b/src/ridgecourse/gateway/warm_up.py
@@ -1,6 +1,7 @@
-"""Holds the versions in force in a hub, from the first start of the system on.
+"""Prefetch the versions in force into a hub at the first start of the system.
 
-Engines that join later are filled from there at once, even while the origin is away.
+Engines that join later get these versions from the hub at once, even while the origin
+is unreachable.
 """
 
 import logging
@@ -17,86 +18,90 @@
 from ridgecourse.exchange.context import ExchangeContext
 from ridgecourse.exchange.holding import Holding
 from ridgecourse.exchange.transfer import Transfer, TransferError
-from ridgecourse.gateway.told_gateways import ToldGateways
+from ridgecourse.gateway.told_gateways import AnnouncedGateways
 from ridgecourse.net.clock import boottime
 
 logger = logging.getLogger(__name__)
 
-WARM_UP_SECONDS = 6.0
-"""From the start of a gateway until it brings in the version in force even if no
-loader of its domain is known: engines are listed some 5 s after the start."""
-WARM_UP_POLL_SECONDS = 0.5
-STAGED_STALL_SECONDS = 3.0
-"""How long loaders that send nothing are waited for, while engines wait for weights."""
-STAGED_SECONDS = 7.0
-"""How long loaders are given to send it: one copy over one loader's link takes 5.2 s
-on the sites of today, and a domain has two."""
-ASK_SECONDS = 0.5
-"""Between two questions to a loader for what its engine has staged."""
+LOADER_WAIT_SECONDS = 6.0
+"""Time after a gateway's start at which the gateway prefetches the version in force
+even if no loader of its failure domain is known. Engines are listed some 5 s after the
+start."""
+LOADER_POLL_SECONDS = 0.5
+STAGED_STALL_TIMEOUT_SECONDS = 3.0
+"""How long to wait for loaders that send nothing, while engines wait for weights."""
+STAGED_TIMEOUT_SECONDS = 7.0
+"""Time for loaders to send the staged version. One copy over one loader's link takes
+5.2 s on the deployed sites, and a failure domain has 2 loaders."""
+REQUEST_INTERVAL_SECONDS = 0.5
+"""Interval between two requests to a loader for the version that its engine has
+staged."""
 
 
-class VersionHolder(ABC):
-    """Who holds versions for the domain, as the warm-up needs it.
+class VersionFetcher(ABC):
+    """The functions of the hub that the prefetch needs.
 
     Attributes:
         site: The settings in force.
-        view: What is known of configuration, versions and targets.
-        place: Where others find it.
-        told: Gateways that connected loaders tell of.
-        context: What its transfers share.
-        catalogue: Manifests of the versions that it takes part in.
-        working: Versions that are being brought in.
+        view: Known configuration, versions and targets.
+        local_peer: Where other processes reach this gateway.
+        announced: Gateways that connected loaders report.
+        context: Resources and limits of the transfers.
+        catalogue: Manifests and holdings of versions.
+        fetching: Threads that fetch versions.
     """
 
     site: Site
     view: ClusterView
     place: Peer
-    told: ToldGateways
+    announced: AnnouncedGateways
     context: ExchangeContext
     catalogue: Catalogue
     working: dict[VersionKey, eventlet.greenthread.GreenThread]
 
     @abstractmethod
     def known(self) -> list[Peer]:
-        """Return the gateways that loaders tell of."""
+        """Return the gateways that loaders report."""
 
     @abstractmethod
     def has(self, key: VersionKey) -> bool:
-        """Tell whether a version is held whole."""
+        """Check whether a version is available and complete."""
 
     @abstractmethod
     def is_needed(self, key: VersionKey) -> bool:
-        """Tell whether a version is new enough for others to use."""
+        """Check whether a version is new enough for other processes to use."""
 
     @abstractmethod
     def join(self, key: VersionKey, holding: Holding) -> None:
-        """Take part in a version's exchange; drop what is older than needed."""
+        """Join the exchange of a version, and drop versions older than needed."""
 
     @abstractmethod
     def bring(self, key: VersionKey) -> None:
-        """Bring a version in for others, until it is whole or out of date."""
+        """Fetch a version for other processes until it is complete or not needed."""
 
 
 class WarmUp:
-    """Takes the first versions from the domain's engines, where they lie staged."""
+    """Fetches the first versions from the domain's engines, where they are staged."""
 
-    def __init__(self, hub: VersionHolder) -> None:
+    def __init__(self, hub: VersionFetcher) -> None:
         self.hub = hub
         self.thread: eventlet.greenthread.GreenThread | None = None
 
     def start(self) -> None:
-        """Begin, if this turns out to be the hub of its domain."""
+        """Start the prefetch; it fetches the versions whose hub this gateway is."""
         self.thread = eventlet.spawn(self._run)
 
     def close(self) -> None:
-        """Stop; what is being brought in goes on."""
+        """Stop the prefetch; fetches in progress continue."""
         if self.thread is not None:
             self.thread.kill()
 
     def _run(self) -> None:
-        begun = boottime()
-        while not self._knows_loaders() and boottime() < begun + WARM_UP_SECONDS:
-            eventlet.sleep(WARM_UP_POLL_SECONDS)
+        started_at = boottime()
+        while (
+            not self._knows_loaders() and boottime() < started_at + LOADER_WAIT_SECONDS
+        ):
+            eventlet.sleep(LOADER_POLL_SECONDS)
         config = self.hub.view.config
         for service in config.services.values() if config else ():
             if service.engine is None or not service.engine.chunks:
@@ -111,32 +116,40 @@
                 self.hub.working[key] = eventlet.spawn(self._bring_staged, key, service)
 
     def _knows_loaders(self) -> bool:
-        """Tell whether the loaders of all listed engines of the domain are known."""
+        """Check whether the loaders of all listed engines of the domain are known."""
         config = self.hub.view.config
         if config is None:
             return False
-        models = {s.name for s in config.services.values() if s.engine is not None}
-        near = [
+        engine_services = {
+            service.name
+            for service in config.services.values()
+            if service.engine is not None
+        }
+        loader_addresses = [
             target.address
             for target in self.hub.view.targets.targets.values()
-            if target.domain == self.hub.site.domain and target.service in models
+            if target.domain == self.hub.site.domain
+            and target.service in engine_services
         ]
-        return bool(near) and all(address in self.hub.told for address in near)
+        return bool(loader_addresses) and all(
+            address in self.hub.announced for address in loader_addresses
+        )
 
     def _bring_staged(self, key: VersionKey, service: Service) -> None:
-        """Take a version from the domain's engines, what is missing as usual.
+        """Fetch a version from the domain's engines, and the missing chunks as usual.
 
-        Who needs a version that is not the newest any more asks for it.
+        A version that has been superseded is fetched only on request.
         """
         try:
-            with eventlet.Timeout(STAGED_SECONDS, False):
+            with eventlet.Timeout(STAGED_TIMEOUT_SECONDS, False):
                 self._take_staged(key, service)
         except TransferError as error:
-            logger.warning("the staged chunks of %s are of no use: %s", key, error)
+            logger.warning("cannot use the staged chunks of %s: %s", key, error)
         if self.hub.has(key) or self.hub.view.wanted_version(key[0]) == key[1]:
             self.hub.bring(key)
         else:
-            # Replaced meanwhile: 12 of 36 chunks that the origin sent were for nobody.
+            # The version was superseded meanwhile. Fetching it anyway made 12 of 36
+            # chunks that the origin sent useless.
             self.hub.working.pop(key, None)
 
     def _take_staged(self, key: VersionKey, service: Service) -> None:
@@ -147,27 +160,30 @@
         if holding is None:
             return
         self.hub.join(key, holding)
-        near = [
+        domain_engines = [
             target
             for target in self.hub.view.serving(service.name)
             if target.domain == self.hub.site.domain and key[0] in target.models
         ]
         control_port = self.hub.site.peer_ports[0]
-        peers = loader_peers(near, (control_port + 1, control_port))
-        asking = eventlet.spawn(self._ask_on, key, list(peers.values()))
-        me = [self.hub.place.name]
-        transfer = Transfer(self.hub.context, None, holding, peers, 1, me, paced=False)
+        peers = loader_peers(domain_engines, (control_port + 1, control_port))
+        requester = eventlet.spawn(self._request_repeatedly, key, list(peers.values()))
+        hub_names = [self.hub.place.name]
+        transfer = Transfer(
+            self.hub.context, None, holding, peers, 1, hub_names, paced=False
+        )
         transfer.is_needed = lambda: (
-            self.hub.is_needed(key) and transfer.silent_seconds < STAGED_STALL_SECONDS
+            self.hub.is_needed(key)
+            and transfer.silent_seconds < STAGED_STALL_TIMEOUT_SECONDS
         )
         try:
             transfer.run()
         finally:
-            asking.kill()
+            requester.kill()
 
-    def _ask_on(self, key: VersionKey, loaders: Sequence[Peer]) -> None:
-        """Ask loaders for a version again and again: one that starts has none yet."""
+    def _request_repeatedly(self, key: VersionKey, loaders: Sequence[Peer]) -> None:
+        """Request a version from loaders repeatedly; a starting loader has none yet."""
         while True:
             for loader in loaders:
                 self.hub.catalogue.ask(loader, key)
-            eventlet.sleep(ASK_SECONDS)
+            eventlet.sleep(REQUEST_INTERVAL_SECONDS)
