--- a/src/ridgecourse/gateway/crash_watch.py
+++ b/src/ridgecourse/gateway/crash_watch.py
@@ -204,7 +204,7 @@
         return False
 
     def _update_blocked(self) -> frozenset[RequestSignature]:
-        """Update the blocked requests; report the new ones as events and return them."""
+        """Update the blocked requests; emit events for new ones and return these."""
         previous, self.blocked = (
             self.blocked,
             self.suspects.find_blocked(boottime()),
--- a/src/ridgecourse/gateway/hub.py
+++ b/src/ridgecourse/gateway/hub.py
@@ -73,7 +73,7 @@
     """Fetches versions for the loaders of the failure domain.
 
     Attributes:
-        local_peer: Where other processes reach this gateway.
+        local: Where other processes reach this gateway.
         announced: Gateways that connected loaders report.
         peers: Processes to fetch versions and records from.
         context: Resources and limits of the transfers.
--- a/src/ridgecourse/gateway/warm_up.py
+++ b/src/ridgecourse/gateway/warm_up.py
@@ -44,7 +44,7 @@
     Attributes:
         site: The settings in force.
         view: Known configuration, versions and targets.
-        local_peer: Where other processes reach this gateway.
+        local: Where other processes reach this gateway.
         announced: Gateways that connected loaders report.
         context: Resources and limits of the transfers.
         catalogue: Manifests and holdings of versions.
