--- a/src/ridgecourse/exchange/__init__.py
+++ b/src/ridgecourse/exchange/__init__.py
@@ -1,1 +1,1 @@
-"""The exchange of weights between the agents of a fleet."""
+"""Peer-to-peer distribution of model weights between the agents of a fleet."""
--- a/src/ridgecourse/exchange/catalogue.py
+++ b/src/ridgecourse/exchange/catalogue.py
@@ -1,4 +1,8 @@
-"""Manifests of versions: served to others, fetched from them or the origin."""
+"""Catalogue of version manifests.
+
+Serves known manifests to other processes, and fetches missing manifests from
+other processes or, if none of them answers in time, from the origin.
+"""
 
 from collections.abc import Callable, Sequence
 from math import floor
@@ -26,29 +30,34 @@
 from ridgecourse.net.http_server import HttpReply, HttpRequest, HttpRouter
 
 VERSIONS_PATH = "/versions/"
+"""Path prefix under which manifests are served, followed by MODEL/NUMBER."""
 PEER_SECONDS = 0.5
+"""Timeout of one request to another process, in seconds."""
 POLL_SECONDS = 0.05
+"""Pause between two rounds of requests to the peers, in seconds."""
 SHARE_HEADER = "Ridgecourse-Share"
-"""Share of the version's chunks that the answering process holds."""
+"""Response header: share of the version's chunks that the responder holds."""
 SHARE_PARAMETER = "share"
-"""Asks for that header alone."""
-SHARE = compile_pattern(r"[01]\.\d{4}")
-KEPT_VERSIONS = 2
-"""Versions kept for others: the newest and the one before, which the origin has."""
+"""Query parameter that requests the share header without the manifest."""
+SHARE_PATTERN = compile_pattern(r"[01]\.\d{4}")
+"""Valid values of the share header."""
+RETAINED_VERSIONS = 2
+"""Number of versions retained for other processes: the newest version and its
+predecessor, which the origin has."""
 
-LEFT_STATUS = 410
-"""Answer of a process that draws no more of a version."""
+SKIPPED_STATUS = 410
+"""HTTP status with which a process answers that it has stopped fetching a version."""
 
 VersionKey = tuple[ModelName, WeightsVersion]
 
 
 class PeerAnswer(NamedTuple):
-    """What another process tells of a version.
+    """Response of another process to a request about a version.
 
     Attributes:
-        status: 200 where it takes part in it.
-        data: The manifest, if that was asked for.
-        headers: Of the answer.
+        status: HTTP status; 200 if the process participates in the version.
+        data: Response body: the manifest, if the request asked for the manifest.
+        headers: Response headers.
     """
 
     status: int
@@ -60,10 +69,10 @@
     """The versions whose manifest is known.
 
     Attributes:
-        holdings: By model and version.
-        asked: Called with a version that somebody asked for and that is not
-            whole here.
-        left: Versions that this process will not have whole.
+        holdings: Known versions, by model and version number.
+        on_request: Called with a version that another process requested and that
+            is not complete in this process.
+        skipped: Versions that this process will not complete.
     """
 
     def __init__(
@@ -79,11 +88,11 @@
         self.left: set[VersionKey] = set()
 
     def add_routes(self, router: HttpRouter) -> None:
-        """Serve known manifests on a router."""
+        """Register the manifest handler on a router."""
         router.add("GET", VERSIONS_PATH, self.serve)
 
     def serve(self, request: HttpRequest) -> HttpReply:
-        """Answer with a version's manifest."""
+        """Answer a request with a version's manifest or with the held share alone."""
         model, _, number = request.path.removeprefix(VERSIONS_PATH).partition("/")
         if not number.isdecimal():
             return HttpReply(400)
@@ -92,81 +101,92 @@
         if self.asked is not None and (holding is None or not holding.complete):
             self.asked(key)
         if key in self.left:
-            return HttpReply(LEFT_STATUS)
+            return HttpReply(SKIPPED_STATUS)
         if holding is None:
             return HttpReply(404)
-        # Rounded down: only what is whole is told as 1.
+        # Rounded down, so that only a complete version is reported as 1.
         share = floor(holding.share * 10_000) / 10_000
         headers = [(SHARE_HEADER, f"{share:.4f}")]
         body = b"" if SHARE_PARAMETER in request.query else holding.manifest_bytes
         return HttpReply(200, body, headers)
 
     def ask_share(self, peer: Peer, key: VersionKey) -> float | None:
-        """Ask how much of a version another process holds.
+        """Request the share of a version that another process holds.
 
         Returns:
-            A share from 0 to 1; None where it takes no part in the version, or does
-            not answer.
+            A share from 0 to 1; None if the process does not participate in the
+            version or does not answer.
         """
-        answer = self._ask_peer(peer, key, f"?{SHARE_PARAMETER}=1")
+        answer = self._request_from_peer(peer, key, f"?{SHARE_PARAMETER}=1")
         if answer is None or answer.status != 200:
             return None
         share = answer.headers.get(SHARE_HEADER, "")
-        return float(share) if SHARE.fullmatch(share) else None
+        return float(share) if SHARE_PATTERN.fullmatch(share) else None
 
-    def ask_left(self, peer: Peer, key: VersionKey) -> bool:
-        """Ask whether another process has left a version for a newer one."""
-        answer = self._ask_peer(peer, key, f"?{SHARE_PARAMETER}=1")
-        return answer is not None and answer.status == LEFT_STATUS
+    def ask_skipped(self, peer: Peer, key: VersionKey) -> bool:
+        """Check whether another process skipped a version in favour of a newer one."""
+        answer = self._request_from_peer(peer, key, f"?{SHARE_PARAMETER}=1")
+        return answer is not None and answer.status == SKIPPED_STATUS
 
     def find(
-        self, key: VersionKey, address: str, peers: Sequence[Peer], patience: float
+        self, key: VersionKey, address: str, peers: Sequence[Peer], peers_timeout: float
     ) -> Holding | None:
-        """Return a version's holding, None where its manifest can't be had now.
+        """Return a version's holding; None if its manifest is currently unavailable.
 
         Args:
             key: The version.
             address: HOST:PORT of the origin.
-            peers: Whom to ask, over and over.
-            patience: Seconds after which the origin is asked instead.
+            peers: Processes to ask, repeatedly until one of them answers.
+            peers_timeout: Seconds after which the origin is asked instead of the peers.
         """
         if key in self.holdings:
             return self.holdings[key]
-        ask_origin = boottime() + patience
-        while peers and boottime() < ask_origin:
+        origin_after = boottime() + peers_timeout
+        while peers and boottime() < origin_after:
             for peer in peers:
                 if holding := self.ask(peer, key):
                     return holding
             eventlet.sleep(POLL_SECONDS)
-        return self._ask_origin(key, address)
+        return self._fetch_from_origin(key, address)
 
     def ask(self, peer: Peer, key: VersionKey) -> Holding | None:
-        """Ask another process for a manifest; it brings the version in if it can."""
-        answer = self._ask_peer(peer, key)
+        """Fetch a manifest from another process.
+
+        The request also makes that process fetch the version if it can.
+
+        Returns:
+            The version's holding; None if the process has no valid manifest.
+        """
+        answer = self._request_from_peer(peer, key)
         if answer is None or answer.status != 200:
             return None
         self.context.count_received(Cargo.MANIFEST, len(answer.data), peer.domain)
         parsed = parse_manifest(answer.data)
-        return self._keep(key, parsed.unwrap()) if isinstance(parsed, Success) else None
+        return (
+            self._add_holding(key, parsed.unwrap())
+            if isinstance(parsed, Success)
+            else None
+        )
 
-    def _ask_peer(
+    def _request_from_peer(
         self, peer: Peer, key: VersionKey, query: str = ""
     ) -> PeerAnswer | None:
-        """Return what another process answers; None where it does not."""
+        """Return the answer of another process; None if it does not answer."""
         path = f"{VERSIONS_PATH}{key[0]}/{key[1]}{query}"
         try:
             status, data, headers = self.context.http.fetch(
                 "GET", peer.address, path, timeout=PEER_SECONDS
             )
         except (NoConnection, ExchangeFailed):
-            # It may be starting, or gone; who asks goes on to others.
+            # The peer may be starting or gone; the caller asks other peers.
             self.context.events.figures.count("manifest_unanswered")
             return None
         return PeerAnswer(status, data, headers)
 
-    def _ask_origin(self, key: VersionKey, address: str) -> Holding | None:
+    def _fetch_from_origin(self, key: VersionKey, address: str) -> Holding | None:
+        """Fetch a manifest from the origin; return None if it is unavailable."""
         try:
-            holding = self._keep(key, self.origin.manifest(address, *key))
+            holding = self._add_holding(key, self.origin.manifest(address, *key))
         except OriginUnavailable as error:
             self.context.events.emit(
                 EventKind.MANIFEST_UNAVAILABLE, version=str(key[1]), error=str(error)
@@ -175,30 +195,36 @@
         self.context.count_drawn(Cargo.MANIFEST, len(holding.manifest_bytes))
         return holding
 
-    def _keep(self, key: VersionKey, manifest: Manifest) -> Holding:
+    def _add_holding(self, key: VersionKey, manifest: Manifest) -> Holding:
+        """Return the version's holding, created from the manifest if missing."""
         if key not in self.holdings:
             data = encode_manifest(manifest)
             self.holdings[key] = Holding(root_digest(data), manifest, data)
         return self.holdings[key]
 
-    def is_outdated(self, key: VersionKey, newer_named: int) -> bool:
-        """Tell whether a version is older than those that are kept.
+    def is_outdated(self, key: VersionKey, newer_count: int) -> bool:
+        """Check whether a version is older than the retained versions.
 
         Args:
             key: The version.
-            newer_named: Newer ones that are named. Another may have asked for more.
+            newer_count: Number of newer versions in the version history. The catalogue
+                may know more, because other processes requested them.
         """
-        newer = [k for k in self.holdings if k[0] == key[0] and k[1] > key[1]]
-        return max(newer_named, len(newer)) >= KEPT_VERSIONS
+        newer = [
+            known for known in self.holdings if known[0] == key[0] and known[1] > key[1]
+        ]
+        return max(newer_count, len(newer)) >= RETAINED_VERSIONS
 
     def drop_old(self, model: ModelName) -> list[Holding]:
-        """Forget the versions before the kept ones; return them."""
+        """Remove the versions that are older than the retained ones; return them."""
         known = sorted(key for key in self.holdings if key[0] == model)
-        dropped = known[:-KEPT_VERSIONS]
+        dropped = known[:-RETAINED_VERSIONS]
         self.left.difference_update(dropped)
         return [self.holdings.pop(key) for key in dropped]
 
     def retain_chunks(self) -> None:
-        """Drop the stored chunks of versions that are no longer known."""
-        places = [place for held in self.holdings.values() for place in held.places]
+        """Drop stored chunks that belong to no known version."""
+        places = [
+            place for holding in self.holdings.values() for place in holding.places
+        ]
         self.context.store.retain([place.digest for place in places])
--- a/src/ridgecourse/exchange/context.py
+++ b/src/ridgecourse/exchange/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the exchange share within one agent."""
+"""State shared by the components of the weights exchange within one agent."""
 
 from collections.abc import Callable
 from hashlib import sha256
@@ -17,14 +17,16 @@
 
 
 class LinkPolicy(Struct, frozen=True):
-    """What uploads may use of the instance's link.
+    """Limits of uploads on the instance's link.
 
     Attributes:
-        upload_bytes_per_s: None for no limit.
-        upload_slots: Chunks sent to other agents at a time.
-        upload_queue: Requests of the own domain that may wait for a slot.
-        uploads_per_chunk: Times that a chunk is sent to agents of the own
-            domain, and of others, before that is left to those who got it.
+        upload_bytes_per_s: Upload rate in bytes a second; None for no limit.
+        upload_slots: Maximum number of concurrent chunk uploads to other agents.
+        upload_queue: Maximum number of requests from the local domain that wait for
+            an upload slot.
+        uploads_per_chunk: How often a chunk is sent to agents of the local domain,
+            and separately to agents of other domains, before requesters are
+            referred to the agents that received the chunk.
     """
 
     upload_bytes_per_s: float | None = None
@@ -34,7 +36,15 @@
 
 
 class TransferCounts:
-    """Bytes of weights that an agent moved, over all versions."""
+    """Traffic of an agent over all versions.
+
+    Attributes:
+        from_origin: Bytes received from the origin.
+        from_domain: Bytes received from agents of the local domain.
+        across_domains: Bytes received from agents of other domains.
+        fetched_twice: Bytes of chunks that were already held.
+        rejected: Number of chunks that did not match their digest.
+    """
 
     def __init__(self) -> None:
         self.from_origin = 0
@@ -45,18 +55,22 @@
 
 
 class ExchangeContext:
-    """Identity, clients and bounds of one agent's part in the exchange.
+    """Identity, clients and limits of one agent in the exchange.
 
     Attributes:
-        me: The agent as others name it.
-        store: Its chunks.
+        local: The local agent, under the name that other agents use.
+        store: Chunks that the agent holds.
+        link: Limits of uploads.
+        plan: Limits of the fetch planner.
         download: Limit of the incoming link.
-        key: Proves the system's processes to each other; empty for no proof.
-        source: Local address that connections are made from; None for any.
-        rate: Rate at which others are asked to send; None for as they like.
-        chunk_stall_seconds: Longest wait for bytes of a chunk.
-        digest: Returns the digest of a chunk's bytes.
-        region: Returns the region of a failure domain.
+        key: Shared key with which the processes authenticate to each other; empty
+            for no authentication.
+        source: Local address of outgoing connections; None for any.
+        rate: Rate that other agents are asked to send at; None for no limit.
+        chunk_stall_seconds: Longest wait for bytes of a chunk, in seconds.
+        digest: Function that returns the digest of a chunk's bytes.
+        region: Function that returns the region of a failure domain.
+        counts: Bytes received so far.
     """
 
     def __init__(
@@ -93,7 +107,13 @@
         self.counts = TransferCounts()
 
     def count_received(self, cargo: Cargo, size: int, sender: DomainName) -> None:
-        """Count bytes that another process sent."""
+        """Count bytes received from another process, by kind of link.
+
+        Args:
+            cargo: Kind of data.
+            size: Number of bytes.
+            sender: Failure domain of the sender.
+        """
         if sender == self.me.domain:
             link = Link.DOMAIN
         elif self.region(sender) == self.region(self.me.domain):
@@ -103,10 +123,10 @@
         self.events.figures.count(byte_counter(cargo, link), size)
 
     def count_drawn(self, cargo: Cargo, size: int) -> None:
-        """Count bytes that the origin sent."""
+        """Count bytes received from the origin."""
         self.events.figures.count(byte_counter(cargo, Link.ORIGIN), size)
 
 
 def sha256_digest(data: bytes) -> ChunkDigest:
-    """Return the digest of a chunk's bytes where the origin uses SHA-256."""
+    """Return the SHA-256 digest of a chunk's bytes, for origins that use SHA-256."""
     return ChunkDigest(sha256(data).hexdigest())
--- a/src/ridgecourse/exchange/frames.py
+++ b/src/ridgecourse/exchange/frames.py
@@ -1,13 +1,15 @@
-"""How an agent hands chunks to its engine in one stream."""
+"""Framing of the chunk stream from an agent to its engine."""
 
 from ridgecourse.core.ids import ChunkDigest
 from ridgecourse.core.manifest import DIGEST_HEX_LENGTH
 
 TICKET_HEADER = "Ridgecourse-Ticket"
-"""Shown by an engine to fetch the version that it was ordered to load."""
+"""Request header: the ticket with which an engine fetches the version that it was
+ordered to load."""
 FRAME_HEADER_BYTES = DIGEST_HEX_LENGTH + 8
+"""Size of a frame header: hexadecimal digest and 8 bytes of length."""
 
 
 def frame_header(digest: ChunkDigest, length: int) -> bytes:
-    """Return what stands before a chunk's bytes in the stream to an engine."""
+    """Return the header that precedes a chunk's bytes in the stream to an engine."""
     return digest.encode() + length.to_bytes(8, "big")
--- a/src/ridgecourse/exchange/origin.py
+++ b/src/ridgecourse/exchange/origin.py
@@ -1,4 +1,4 @@
-"""Where a version's chunks come from first."""
+"""Interfaces of the origin, the authoritative source of manifests and chunks."""
 
 from abc import ABC, abstractmethod
 
@@ -7,41 +7,41 @@
 
 
 class OriginUnavailable(Exception):
-    """The origin gave no usable answer."""
+    """The origin returned no usable answer."""
 
 
 class OriginBusy(OriginUnavailable):
-    """The origin asks to come back later."""
+    """The origin is overloaded and asks to retry later."""
 
 
 class OriginMissing(OriginUnavailable):
-    """The origin does not have what was asked for."""
+    """The origin does not have the requested data."""
 
 
 class ChunkOrigin(ABC):
-    """The origin of one version.
+    """Source of the chunks of one version.
 
     Attributes:
-        drawn: Bytes received so far.
+        received_bytes: Bytes received from the origin so far.
     """
 
     drawn: int
 
     @abstractmethod
     def chunk(self, place: ChunkPlace, stall: float) -> bytes:
-        """Return a chunk's bytes, not yet verified.
+        """Return a chunk's bytes without verifying them.
 
         Args:
-            place: Where the chunk stands.
-            stall: Longest wait for each piece, in seconds.
+            place: File and byte range of the chunk.
+            stall: Longest wait for the next bytes, in seconds.
 
         Raises:
-            OriginUnavailable: It cannot be had now.
+            OriginUnavailable: The chunk cannot be fetched now.
         """
 
 
 class WeightsOrigin(ABC):
-    """The origin of all versions."""
+    """Source of the manifests and chunks of all versions."""
 
     @abstractmethod
     def manifest(
@@ -50,11 +50,11 @@
         """Return a version's manifest.
 
         Raises:
-            OriginUnavailable: It cannot be had now.
+            OriginUnavailable: The manifest cannot be fetched now.
         """
 
     @abstractmethod
     def chunks(
         self, address: str, model: ModelName, version: WeightsVersion
     ) -> ChunkOrigin:
-        """Return the origin of a version's chunks."""
+        """Return the source of a version's chunks."""
--- a/src/ridgecourse/exchange/server.py
+++ b/src/ridgecourse/exchange/server.py
@@ -1,4 +1,4 @@
-"""The serving side of the exchange: chunks and manifests for other agents."""
+"""Serving side of the exchange: sends chunks and manifests to agents and the engine."""
 
 from collections.abc import Iterator
 from itertools import islice
@@ -20,31 +20,40 @@
 MANIFEST_PATH = "/manifests/"
 ENGINE_PATH = "/engine/"
 DOMAIN_HEADER = "Ridgecourse-Domain"
+"""Request header: failure domain of the requester."""
 RATE_HEADER = "Ridgecourse-Rate"
-"""Bytes a second that the link of whoever asks can take."""
+"""Request header: bytes a second that the requester's link can receive."""
 LAST_RESORT_HEADER = "Ridgecourse-Last-Resort"
+"""Request header: "yes" asks for a chunk beyond the limit of uploads per chunk."""
 PIECE_BYTES = 4 * 1024
-"""Sent at a time where the link is limited, so that requests wait little behind."""
+"""Bytes sent at a time on a limited link: small, so that inference requests on the same
+link wait only briefly."""
 PACE_BURST_SECONDS = 0.02
-"""Of an agent's rate that may go to it at once: requests to its engine wait behind."""
+"""Burst to one agent, in seconds of its rate: requests to the agent's engine wait
+behind the burst."""
 QUEUE_SECONDS = 1.0
-"""Longest wait of a request for an upload slot."""
-HOLDS_INTERVAL = 0.05
-"""Seconds over which newly held chunks are gathered into one message."""
+"""Longest wait of a request for an upload slot, in seconds."""
+HOLDS_INTERVAL_SECONDS = 0.05
+"""Seconds over which newly available chunks are batched into one message."""
 
 
 class Exchange:
-    """Hands out chunks to other agents, and all of a version to the engine.
+    """Serves chunks to other agents, and whole versions to the local engine.
 
     Attributes:
-        store: The chunks.
-        holdings: The versions taken part in.
-        uploads: Uploads in progress.
-        queued: Requests of the own domain that wait for an upload slot.
-        queued_across: The same of other domains.
+        domain: Failure domain of the local agent.
+        store: Chunks that the local agent holds.
+        policy: Limits of uploads.
+        key: Shared key with which requests of other agents are signed.
+        holdings: Versions that this agent exchanges, by root digest.
+        joined: Notified when a version is added to ``holdings``.
+        uploads: Number of uploads in progress.
+        queued: Number of requests from the local domain that wait for an upload slot.
+        queued_cross_domain: Number of requests from other domains that wait for one.
+        slot_free: Notified when an upload slot becomes free.
         link: Limit of the outgoing link.
-        tickets: What the engine shows to fetch a version.
-        pacers: Limits of uploads to each agent that asked for one.
+        tickets: Version that each ticket lets the engine fetch.
+        pacers: Upload limit of each agent that requested one, by host.
     """
 
     def __init__(self, context: ExchangeContext) -> None:
@@ -58,19 +67,19 @@
         self.tickets: dict[str, RootDigest] = {}
         self.uploads = 0
         self.queued = 0
-        self.queued_across = 0
+        self.queued_cross_domain = 0
         self.slot_free = Broadcast()
         self.pacers: dict[str, Throttle] = {}
 
     def add_routes(self, router: HttpRouter) -> None:
-        """Serve chunks and manifests on a router."""
+        """Register the handlers of chunks and manifests on a router."""
         router.add("GET", CHUNK_PATH, self.serve_chunk)
         router.add("GET", MANIFEST_PATH, self.serve_manifest)
         router.add("GET", f"{ENGINE_PATH}manifest/", self.serve_engine_manifest)
         router.add("GET", f"{ENGINE_PATH}stream/", self.serve_engine_stream)
 
     def join(self, holding: Holding) -> None:
-        """Take part in the exchange of a version."""
+        """Start to exchange a version with other agents."""
         self.holdings[holding.root] = holding
         for place in holding.places:
             if self.store.get(place.digest) is not None:
@@ -78,76 +87,89 @@
         self.joined.notify()
 
     def leave(self, root: RootDigest) -> None:
-        """Take no part in a version any more."""
+        """Stop exchanging a version."""
         self.holdings.pop(root, None)
 
     def serve_chunk(self, request: HttpRequest) -> HttpReply:
-        """Answer with a chunk, or 503 where all upload slots are taken."""
+        """Answer a request for a chunk.
+
+        The status is 401 without a valid signature, 404 if the chunk is not held, 429
+        if the chunk was sent often enough, and 503 if no upload slot became free.
+        """
         if not request.is_signed(self.key):
             return HttpReply(401)
         digest = ChunkDigest(request.path.removeprefix(CHUNK_PATH))
         data = self.store.get(digest)
         if data is None:
             return HttpReply(404)
-        holding = self._holding_of(digest)
+        holding = self._find_holding(digest)
         last_resort = request.header(LAST_RESORT_HEADER) == "yes"
-        across = request.header(DOMAIN_HEADER) != self.domain
-        if not last_resort and self._over_share(holding, digest, across):
+        cross_domain = request.header(DOMAIN_HEADER) != self.domain
+        if not last_resort and self._is_upload_limit_reached(
+            holding, digest, cross_domain
+        ):
             return HttpReply(429)
-        if not self._take_slot(across):
+        if not self._acquire_slot(cross_domain):
             return HttpReply(503)
         if holding is not None:
-            holding.uploads[digest, across] += 1
+            holding.uploads[digest, cross_domain] += 1
         headers = [("Content-Length", str(len(data)))]
-        return HttpReply(200, self._upload(data, self._pacer(request)), headers)
+        return HttpReply(200, self._upload(data, self._pacer_for(request)), headers)
 
-    def _take_slot(self, across: bool) -> bool:
-        """Wait for an upload slot; tell whether one was got.
+    def _acquire_slot(self, cross_domain: bool) -> bool:
+        """Wait for an upload slot; return whether one was acquired.
 
-        A short queue costs less than asking again and again does. Requests from
-        other domains always queue and go first: a whole domain waits for what
-        they bring in.
+        A short queue costs less than repeated requests. Requests from other domains
+        always queue and take precedence, because a whole domain waits for the chunks
+        that they fetch.
         """
-        if not across and self.queued >= self.policy.upload_queue:
+        if not cross_domain and self.queued >= self.policy.upload_queue:
             return False
-        self.queued += not across
-        self.queued_across += across
+        self.queued += not cross_domain
+        self.queued_cross_domain += cross_domain
         try:
             deadline = boottime() + QUEUE_SECONDS
-            while self._must_wait(across):
-                left = deadline - boottime()
-                if left <= 0 or not self.slot_free.wait(left):
+            while self._must_wait(cross_domain):
+                remaining = deadline - boottime()
+                if remaining <= 0 or not self.slot_free.wait(remaining):
                     return False
         finally:
-            self.queued -= not across
-            self.queued_across -= across
+            self.queued -= not cross_domain
+            self.queued_cross_domain -= cross_domain
         self.uploads += 1
         return True
 
-    def _must_wait(self, across: bool) -> bool:
-        taken = self.uploads >= self.policy.upload_slots
-        return taken or (not across and self.queued_across > 0)
+    def _must_wait(self, cross_domain: bool) -> bool:
+        """Check whether a request must wait for an upload slot."""
+        slots_busy = self.uploads >= self.policy.upload_slots
+        return slots_busy or (not cross_domain and self.queued_cross_domain > 0)
 
-    def _holding_of(self, digest: ChunkDigest) -> Holding | None:
+    def _find_holding(self, digest: ChunkDigest) -> Holding | None:
+        """Return a version that contains a chunk; None if no version does."""
         for holding in self.holdings.values():
             if digest in holding.index:
                 return holding
         return None
 
-    def _over_share(
-        self, holding: Holding | None, digest: ChunkDigest, across: bool
+    def _is_upload_limit_reached(
+        self, holding: Holding | None, digest: ChunkDigest, cross_domain: bool
     ) -> bool:
-        """Tell whether others should send a chunk on now.
+        """Check whether a chunk was uploaded often enough to leave it to other agents.
 
-        The first holder of a chunk is asked by all at once. If it served them
-        all, its link would bound the whole rollout; those that it served can.
+        All agents request a chunk from its first holder at once. If that agent served
+        all of them, its link would limit the whole rollout; the agents that received
+        the chunk can send it to the rest.
         """
         if holding is None:
             return False
-        return holding.uploads[digest, across] >= self.policy.uploads_per_chunk
+        return holding.uploads[digest, cross_domain] >= self.policy.uploads_per_chunk
 
-    def _pacer(self, request: HttpRequest) -> Throttle | None:
-        """Return what keeps all uploads to one agent below the rate it asks for."""
+    def _pacer_for(self, request: HttpRequest) -> Throttle | None:
+        """Return the throttle that limits uploads to one agent to its requested rate.
+
+        Returns:
+            None if the request names no rate.
+        """
         rate = request.header(RATE_HEADER)
         if not rate.isdecimal() or not int(rate):
             return None
@@ -157,6 +179,7 @@
         return pacer
 
     def _upload(self, data: bytes, pacer: Throttle | None) -> Iterator[bytes]:
+        """Yield a chunk in paced pieces; release the upload slot at the end."""
         pieces = in_pieces(data, PIECE_BYTES)
         if pacer is not None:
             pieces = pacer.pace(pieces)
@@ -167,7 +190,7 @@
             self.slot_free.notify()
 
     def serve_manifest(self, request: HttpRequest) -> HttpReply:
-        """Answer with a version's manifest."""
+        """Answer another agent with the manifest of a version."""
         if not request.is_signed(self.key):
             return HttpReply(401)
         root = RootDigest(request.path.removeprefix(MANIFEST_PATH))
@@ -177,7 +200,7 @@
         return HttpReply(200, self.link.pace((holding.manifest_bytes,)))
 
     def serve_engine_manifest(self, request: HttpRequest) -> HttpReply:
-        """Answer the engine, which shows a ticket, with a manifest."""
+        """Answer the engine with the manifest of the version that its ticket names."""
         root = self.tickets.get(request.header(TICKET_HEADER))
         holding = self.holdings.get(root) if root is not None else None
         if holding is None:
@@ -185,7 +208,7 @@
         return HttpReply(200, holding.manifest_bytes)
 
     def serve_engine_stream(self, request: HttpRequest) -> HttpReply:
-        """Answer the engine with a version's chunks, each as soon as it is held."""
+        """Answer the engine with a stream of chunks, each sent once it is held."""
         ticket = request.header(TICKET_HEADER)
         root = self.tickets.get(ticket)
         holding = self.holdings.get(root) if root is not None else None
@@ -196,28 +219,28 @@
     def _chunk_frames(self, holding: Holding, ticket: str) -> Iterator[bytes]:
         """Yield digest, length and bytes of each chunk, in order of arrival.
 
-        The stream ends early where the version is dropped meanwhile.
+        The stream ends early if the version is dropped or the ticket is withdrawn.
         """
         sent = 0
         while sent < len(holding.places):
-            fresh = list(islice(holding.held, sent, None))
-            for index in fresh:
+            unsent = list(islice(holding.held, sent, None))
+            for index in unsent:
                 digest = holding.places[index].digest
                 data = self.store.get(digest)
                 if data is None:
                     return
                 yield frame_header(digest, len(data)) + data
-            sent += len(fresh)
-            if not fresh:
+            sent += len(unsent)
+            if not unsent:
                 holding.changed.wait(1.0)
             if ticket not in self.tickets:
                 return
 
     def tell_holdings(self, channel: ControlChannel, follow: Follow) -> None:
-        """Tell a follower what is held of a version, until it goes away.
+        """Announce the available chunks of a version until the follower disconnects.
 
         Raises:
-            ChannelClosed: The follower is gone.
+            ChannelClosed: The follower disconnected.
         """
         while True:
             holding = self.holdings.get(follow.root)
@@ -225,20 +248,21 @@
                 self.joined.wait(1.0)
                 channel.send(Holds(follow.root, []))
                 continue
-            self._tell_holding(channel, holding)
+            self._announce_holding(channel, holding)
 
-    def _tell_holding(self, channel: ControlChannel, holding: Holding) -> None:
-        held_told = seen_told = 0
+    def _announce_holding(self, channel: ControlChannel, holding: Holding) -> None:
+        """Send changes of a holding until this agent leaves the version."""
+        held_sent = seen_sent = 0
         while self.holdings.get(holding.root) is holding:
-            held = list(islice(holding.held, held_told, None))
-            seen = list(islice(holding.seen, seen_told, None))
+            held = list(islice(holding.held, held_sent, None))
+            seen = list(islice(holding.seen, seen_sent, None))
             if held or seen:
-                held_told += len(held)
-                seen_told += len(seen)
-                told = set(held)
-                others = [index for index in seen if index not in told]
+                held_sent += len(held)
+                seen_sent += len(seen)
+                sent_as_held = set(held)
+                others = [index for index in seen if index not in sent_as_held]
                 channel.send(Holds(holding.root, held, others))
-                eventlet.sleep(HOLDS_INTERVAL)
+                eventlet.sleep(HOLDS_INTERVAL_SECONDS)
             elif not holding.changed.wait(1.0):
-                # A sign of life, and notice of a follower that went away.
+                # Keepalive, which also detects a follower that disconnected.
                 channel.send(Holds(holding.root, []))
--- a/src/ridgecourse/exchange/store.py
+++ b/src/ridgecourse/exchange/store.py
@@ -1,6 +1,6 @@
-"""The agent's chunks in memory, within a budget.
+"""In-memory store of an agent's chunks, within a budget of bytes.
 
-Chunks are named by their content, so what two versions share is held once.
+Chunks are addressed by digest, so a chunk that two versions share is stored once.
 """
 
 from collections.abc import Iterable
@@ -10,15 +10,16 @@
 
 
 class OutOfBudget(Exception):
-    """A version does not fit into the memory for chunks."""
+    """A version is larger than the budget of the chunk store."""
 
 
 class ChunkStore:
     """Verified chunks by digest.
 
     Attributes:
-        budget: Most bytes held.
-        held_bytes: Bytes held now.
+        budget: Maximum size of the stored chunks, in bytes.
+        held_bytes: Current size of the stored chunks, in bytes.
+        chunks: Bytes of each chunk.
     """
 
     def __init__(self, budget: int) -> None:
@@ -27,32 +28,33 @@
         self.chunks: dict[ChunkDigest, bytes] = {}
 
     def put(self, digest: ChunkDigest, data: bytes) -> None:
-        """Keep a verified chunk."""
+        """Store a verified chunk."""
         if digest not in self.chunks:
             self.chunks[digest] = data
             self.held_bytes += len(data)
 
     def get(self, digest: ChunkDigest) -> bytes | None:
-        """Return a chunk's bytes."""
+        """Return a chunk's bytes; None if the chunk is not stored."""
         return self.chunks.get(digest)
 
     def held_of(self, places: Iterable[ChunkPlace]) -> list[ChunkDigest]:
-        """Return those of a version's chunks that are held."""
+        """Return the digests of a version's chunks that are stored."""
         return [place.digest for place in places if place.digest in self.chunks]
 
     def make_room(self, wanted: Manifest, *keep: Manifest) -> None:
-        """Drop what is in the way of a version.
+        """Drop chunks until a version fits into the budget.
 
         Args:
             wanted: The version that must fit.
-            keep: Versions kept as long as there is room, the most wanted first.
+            keep: Versions whose chunks are kept if they fit as well, in order of
+                priority.
 
         Raises:
-            OutOfBudget: The version alone does not fit.
+            OutOfBudget: The wanted version alone exceeds the budget.
         """
         kept: dict[ChunkDigest, int] = {}
         for manifest in (wanted, *keep):
-            lengths = {p.digest: p.length for p in manifest.unique_chunks()}
+            lengths = {place.digest: place.length for place in manifest.unique_chunks()}
             total = sum({**kept, **lengths}.values())
             if total <= self.budget:
                 kept.update(lengths)
@@ -62,7 +64,7 @@
         self.retain(kept)
 
     def retain(self, digests: Iterable[ChunkDigest]) -> None:
-        """Drop every chunk that is not among the given ones."""
+        """Drop every chunk except the given ones."""
         wanted = set(digests)
-        for digest in [d for d in self.chunks if d not in wanted]:
+        for digest in [stored for stored in self.chunks if stored not in wanted]:
             self.held_bytes -= len(self.chunks.pop(digest))
--- a/src/ridgecourse/exchange/transfer.py
+++ b/src/ridgecourse/exchange/transfer.py
@@ -1,4 +1,8 @@
-"""The fetching side of the exchange: brings one version in."""
+"""Fetching side of the exchange: fetches the chunks of one version.
+
+A transfer learns from neighbours which chunks they hold, lets the planner choose
+a source for each missing chunk, and verifies and stores the chunks that arrive.
+"""
 
 import logging
 from collections import Counter
@@ -41,36 +45,44 @@
 logger = logging.getLogger(__name__)
 
 REFOLLOW_SECONDS = 0.5
+"""Pause before a lost control connection to a neighbour is opened again, in seconds."""
 MAX_CORRUPT_FROM_ORIGIN = 3
-"""Times in a row a chunk may come wrong from the origin before it is an error."""
-TOLD_SECONDS = 1.0
-"""From a transfer's start on, until neighbours have told what they hold: a connection
-and some round trips, as for a manifest."""
+"""Corrupt copies of a chunk in a row from the origin after which the transfer fails."""
+INITIAL_HOLDINGS_SECONDS = 1.0
+"""Seconds from the start of a transfer until neighbours have announced their holdings:
+one connection and some round trips, as for a manifest."""
 PROGRESS_SECONDS = 1.0
-"""Between two events that tell how far a transfer is."""
+"""Interval of progress events, in seconds."""
 LAST_RESORT_REFERRALS = 8
-"""Referrals to others after which a holder is asked to exceed its share."""
+"""Referrals to other agents after which a holder is asked to exceed its limit of
+uploads per chunk."""
 
 
 class TransferError(Exception):
-    """The version cannot be brought in, for a reason that waiting won't mend."""
+    """The version cannot be fetched, and waiting would not help."""
 
 
 class Transfer:
     """Fetches the missing chunks of a version.
 
     Attributes:
-        origin: Where the chunks come from first; None to take them from peers alone.
-        planner: Decides what to fetch and from whom.
-        holding: Grows with each chunk.
-        is_needed: Tells whether the version still is; once not, the transfer ends.
-        lacking: What the origin answered for chunks that it does not have.
-        cancelled: Set when the version is no longer wanted.
-        error: Named error that stands in the way, empty if none.
-        rate: Rate at which peers are asked to send; None for as they like.
-        unpaced_domain: Domain whose peers send as they like all the same.
-        begun_at: When the transfer was made.
-        counted: What of the origin's bytes has been counted.
+        origin: Origin of the chunks; None to fetch from peers alone.
+        peers: Agents that chunks may be fetched from, by name.
+        planner: Chooses the chunks to fetch and their sources.
+        holding: Chunks of the version that are held; grows with each chunk.
+        is_needed: Returns whether the version is still needed; the transfer ends when
+            it is not.
+        referrals: How often holders of each chunk referred the fetch to other agents.
+        corrupt_counts: Number of corrupt copies of each chunk from the origin.
+        missing_at_origin: The origin's answer for each chunk that it does not have.
+        cancelled: Whether the transfer was cancelled.
+        error: Error that currently blocks the transfer; empty if none.
+        rate: Rate that peers are asked to send at; None for no limit.
+        unpaced_domain: Domain whose peers are asked for no limit in any case.
+        started_at: When the transfer was created.
+        holdings_due_at: When neighbours have announced their holdings at the latest.
+        last_progress: When the last chunk arrived, or the transfer was created.
+        counted_bytes: Bytes received from the origin that have been counted.
     """
 
     def __init__(
@@ -104,27 +116,30 @@
         )
         if origin is None:
             self.planner.origin.not_before = Seconds(inf)
-        self.counted = origin.drawn if origin is not None else 0
+        self.counted_bytes = origin.drawn if origin is not None else 0
         self.rate = context.rate if paced else None
         self.unpaced_domain = unpaced_domain
         self.progress = Broadcast()
-        self.referred: dict[ChunkDigest, int] = {}
-        self.corrupt: dict[ChunkDigest, int] = {}
+        self.referrals: dict[ChunkDigest, int] = {}
+        self.corrupt_counts: dict[ChunkDigest, int] = {}
         self.lacking: dict[ChunkDigest, str] = {}
         self.is_needed = is_needed
-        self.begun_at = boottime()
-        self.told_at = self.begun_at + TOLD_SECONDS
+        self.started_at = boottime()
+        self.holdings_due_at = self.started_at + INITIAL_HOLDINGS_SECONDS
         self.last_progress = boottime()
-        self.next_report = boottime() + PROGRESS_SECONDS
+        self.next_progress_report = boottime() + PROGRESS_SECONDS
         self.cancelled = False
         self.error = ""
         self.threads: list[eventlet.greenthread.GreenThread] = []
 
     def run(self) -> bool:
-        """Fetch until all is held or no longer needed; tell whether all is held.
+        """Fetch chunks until the version is complete, cancelled or not needed any more.
+
+        Returns:
+            Whether the version is complete.
 
         Raises:
-            TransferError: The version cannot be brought in.
+            TransferError: The version cannot be fetched.
         """
         for neighbour in self.planner.sources:
             self.threads.append(spawn_loop(self._follow, neighbour))
@@ -132,13 +147,13 @@
             self.rate.begin(boottime())
         try:
             while not self.planner.complete() and not self.cancelled:
-                # The origin may be away, and then never says that it is outdated.
+                # An unavailable origin never reports that the version is outdated.
                 if not self.is_needed():
                     break
-                self._check_origin()
-                self._check_lacking()
-                self._tell_progress()
-                for fetch in self.planner.plan(boottime(), self._probes()):
+                self._check_corrupt_chunks()
+                self._check_missing_at_origin()
+                self._report_progress()
+                for fetch in self.planner.plan(boottime(), self._is_probing()):
                     self.threads.append(eventlet.spawn(self._fetch, fetch))
                 self.progress.wait(self.planner.wake_after())
                 self.threads = [thread for thread in self.threads if not thread.dead]
@@ -148,60 +163,67 @@
                 self.rate.end(boottime())
         return self.planner.complete()
 
-    def _probes(self) -> bool:
-        """Tell whether the first chunk goes alone, to show what the link takes.
+    def _is_probing(self) -> bool:
+        """Check whether the first chunk is fetched alone to measure the link's rate.
 
-        Two chunks at the usual rate lay before a link that had narrowed to a
-        fourteenth, and all requests to its engine behind them, for 1.9 s; one for 1 s.
-        A neighbour that hangs holds the others back no longer than a chunk may take.
+        On a link that had narrowed to 1/14 of its rate, two chunks sent at the usual
+        rate blocked all requests to the engine for 1.9 s, one chunk for 1 s.
+        A neighbour that hangs delays the other fetches by no more than the longest
+        time that a chunk may take.
         """
         rate = self.rate
         if rate is None or rate.is_known or self.unpaced_domain is not None:
             return False
         chunk = self.holding.manifest.chunk_size
-        return boottime() < self.begun_at + rate.longest(chunk)
+        return boottime() < self.started_at + rate.longest(chunk)
 
     @property
     def missing_share(self) -> float:
-        """Share of the version's chunks that are still missing."""
+        """Share of the version's chunks that are still missing, from 0 to 1."""
         return len(self.planner.missing) / max(1, len(self.holding.places))
 
     @property
     def stalled(self) -> bool:
-        """Whether no chunk has come for a while."""
+        """Whether no chunk has arrived for the stall time of the planner policy."""
         return self.silent_seconds > self.context.plan.stall_seconds
 
     @property
     def silent_seconds(self) -> float:
-        """Seconds since the last chunk came, or since the start."""
+        """Seconds since the last chunk arrived, or since the transfer was created."""
         return boottime() - self.last_progress
 
     def cancel(self) -> None:
-        """Stop at once: what is in flight costs no more bytes."""
+        """Stop at once; abort fetches in flight so that they use no more bandwidth."""
         self.cancelled = True
         self.progress.notify()
         self.close()
 
     def close(self) -> None:
-        """End all fetches and followed agents."""
+        """Stop all fetches and all control connections to neighbours."""
         threads, self.threads = self.threads, []
         for thread in threads:
             thread.kill()
 
-    def _check_origin(self) -> None:
-        for digest, times in self.corrupt.items():
-            if times >= MAX_CORRUPT_FROM_ORIGIN and digest in self.planner.missing:
+    def _check_corrupt_chunks(self) -> None:
+        """Fail if the origin repeatedly sent a chunk that does not match its digest.
+
+        Raises:
+            TransferError: The origin's data differs from the manifest.
+        """
+        for digest, failures in self.corrupt_counts.items():
+            if failures >= MAX_CORRUPT_FROM_ORIGIN and digest in self.planner.missing:
                 place = self.holding.places[self.holding.index[digest]]
                 raise TransferError(
                     f"origin-changed: {place.path} at byte {place.start} does not "
                     f"match the manifest"
                 )
 
-    def _tell_progress(self) -> None:
+    def _report_progress(self) -> None:
+        """Emit a progress event if one is due."""
         now = boottime()
-        if now < self.next_report:
+        if now < self.next_progress_report:
             return
-        self.next_report = now + PROGRESS_SECONDS
+        self.next_progress_report = now + PROGRESS_SECONDS
         counts = self.context.counts
         self.context.events.emit(
             EventKind.TRANSFER_PROGRESS,
@@ -218,29 +240,38 @@
             error=self.error,
         )
 
-    def _check_lacking(self) -> None:
-        """End where the origin does not have a chunk and no neighbour holds it.
+    def _check_missing_at_origin(self) -> None:
+        """Fail if the origin does not have a chunk and no neighbour holds it.
+
+        Repeated requests for a version that the origin dropped would delay newer
+        versions.
 
-        Asked on and on, a version that the origin gave up holds newer ones back.
+        Raises:
+            TransferError: A chunk is not available anywhere.
         """
-        if boottime() < self.told_at:
+        if boottime() < self.holdings_due_at:
             return
         for digest, answer in self.lacking.items():
             if digest in self.planner.missing and not self.planner.rarity.get(digest):
                 raise TransferError(answer)
 
     def _follow(self, neighbour: TargetName) -> None:
-        """Keep track of what a neighbour holds."""
+        """Track the holdings of a neighbour; reconnect when the connection is lost."""
         while True:
             try:
-                for holds in self._holdings_of(neighbour):
-                    self._take_holds(neighbour, holds)
+                for holds in self._receive_holdings(neighbour):
+                    self._apply_holds(neighbour, holds)
             except ChannelClosed as error:
                 logger.debug("cannot follow %s: %s", neighbour, error)
             self.planner.peer_lost(neighbour)
             eventlet.sleep(REFOLLOW_SECONDS)
 
-    def _holdings_of(self, neighbour: TargetName) -> Iterator[Holds]:
+    def _receive_holdings(self, neighbour: TargetName) -> Iterator[Holds]:
+        """Follow a neighbour and yield its announcements.
+
+        Raises:
+            ChannelClosed: The connection failed or was closed.
+        """
         channel = open_channel(
             self.peers[neighbour].control_address,
             self.context.key,
@@ -253,43 +284,47 @@
             )
             yield from channel.messages(Holds)
 
-    def _take_holds(self, neighbour: TargetName, holds: Holds) -> None:
+    def _apply_holds(self, neighbour: TargetName, holds: Holds) -> None:
+        """Pass the announced holdings of a neighbour to the planner."""
         if not holds.chunks and not holds.seen:
             return
         now = boottime()
         held = self.holding.add_seen(holds.chunks)
         self.planner.peer_holds(neighbour, held, now)
         if not self.planner.place.hubs:
-            # Hubs hear from each other. What loaders had seen at one that is gone kept
-            # its successor from drawing it for 4.5 s, as if it were still to be had.
+            # Hubs announce their holdings to each other directly. Chunks that loaders
+            # had seen at a failed hub stopped the hub's successor from fetching them
+            # for 4.5 s, as if they were still available.
             seen = self.holding.add_seen(holds.seen)
             self.planner.fleet_holds(seen, now)
         self.progress.notify()
 
     def _fetch(self, fetch: Fetch) -> None:
-        """Carry out one fetch and tell the planner how it went."""
-        got = self._get_chunk(fetch)
+        """Carry out one fetch and report its result to the planner."""
+        result = self._get_chunk(fetch)
         now = boottime()
-        if isinstance(got, FetchFailure):
-            self.planner.failed(fetch.digest, fetch.source, got, now)
+        if isinstance(result, FetchFailure):
+            self.planner.failed(fetch.digest, fetch.source, result, now)
         else:
-            self._take_chunk(fetch, got, now)
+            self._store_chunk(fetch, result, now)
         self.progress.notify()
 
     def _get_chunk(self, fetch: Fetch) -> bytes | FetchFailure:
-        got = (
-            self._from_origin(fetch)
+        """Fetch a chunk from its planned source and verify its digest."""
+        result = (
+            self._fetch_from_origin(fetch)
             if fetch.source == ORIGIN
-            else self._from_peer(fetch)
+            else self._fetch_from_peer(fetch)
         )
-        if isinstance(got, FetchFailure):
-            return got
-        if self.context.digest(got) == fetch.digest:
-            return got
-        self._reject(fetch)
+        if isinstance(result, FetchFailure):
+            return result
+        if self.context.digest(result) == fetch.digest:
+            return result
+        self._record_rejection(fetch)
         return FetchFailure.CORRUPT
 
-    def _reject(self, fetch: Fetch) -> None:
+    def _record_rejection(self, fetch: Fetch) -> None:
+        """Count and log a chunk whose bytes do not match its digest."""
         self.context.counts.rejected += 1
         self.context.metrics.count(Metric.CHUNKS_REJECTED)
         source = fetch.source or "origin"
@@ -301,9 +336,11 @@
             source=source,
         )
         if fetch.source == ORIGIN:
-            self.corrupt[fetch.digest] = self.corrupt.get(fetch.digest, 0) + 1
+            self.corrupt_counts[fetch.digest] = (
+                self.corrupt_counts.get(fetch.digest, 0) + 1
+            )
 
-    def _from_origin(self, fetch: Fetch) -> bytes | FetchFailure:
+    def _fetch_from_origin(self, fetch: Fetch) -> bytes | FetchFailure:
         assert self.origin is not None
         place = self.holding.places[self.holding.index[fetch.digest]]
         stall = self.context.chunk_stall_seconds
@@ -318,16 +355,17 @@
             self.error = f"origin-unavailable: {error}"
             return FetchFailure.STALLED
         self.error = ""
-        # Others are drawn beside it: what came since the last one ended, counted once.
-        self.context.counts.from_origin += self.origin.drawn - self.counted
-        self.counted = self.origin.drawn
+        # Chunks are fetched concurrently: count the bytes received since the last
+        # fetch ended, so that each byte is counted once.
+        self.context.counts.from_origin += self.origin.drawn - self.counted_bytes
+        self.counted_bytes = self.origin.drawn
         self.context.count_drawn(Cargo.WEIGHTS, len(data))
         self.context.metrics.count(Metric.BYTES_FROM_ORIGIN, len(data))
         if len(data) != place.length:
             self.error = f"chunk-length: {place.path} at byte {place.start}"
         return data
 
-    def _from_peer(self, fetch: Fetch) -> bytes | FetchFailure:
+    def _fetch_from_peer(self, fetch: Fetch) -> bytes | FetchFailure:
         peer = self.peers[fetch.source]
         path = f"{CHUNK_PATH}{fetch.digest}"
         headers = {
@@ -337,9 +375,9 @@
         rate = None if peer.domain == self.unpaced_domain else self.rate
         if rate is not None:
             headers[RATE_HEADER] = str(int(rate.current))
-        sharing = self.peer_fetches()
-        begun = boottime()
-        if self.referred.get(fetch.digest, 0) >= LAST_RESORT_REFERRALS:
+        fetches_before = self.peer_fetches()
+        started = boottime()
+        if self.referrals.get(fetch.digest, 0) >= LAST_RESORT_REFERRALS:
             headers[LAST_RESORT_HEADER] = "yes"
         limit = self.holding.places[self.holding.index[fetch.digest]].length
         stall = self.context.chunk_stall_seconds
@@ -351,7 +389,7 @@
                 if response.status != 200:
                     response.drain_conn()
                     response.release_conn()
-                    return self._refused(fetch, response.status)
+                    return self._classify_refusal(fetch, response.status)
                 data = b"".join(
                     self.context.download.pace(read_pieces(response, limit))
                 )
@@ -361,21 +399,22 @@
         except ExchangeFailed:
             return FetchFailure.STALLED
         if rate is not None:
-            seconds = boottime() - begun
-            rate.observe(len(data), seconds, (sharing, self.peer_fetches()))
+            seconds = boottime() - started
+            rate.observe(len(data), seconds, (fetches_before, self.peer_fetches()))
         self._count_peer_bytes(fetch.source, len(data))
         return data
 
     def peer_fetches(self) -> int:
-        """Return the fetches from other agents in progress."""
+        """Return the number of fetches from other agents in progress."""
         sources = chain.from_iterable(self.planner.in_flight.values())
         return sum(1 for source in sources if source != ORIGIN)
 
-    def _refused(self, fetch: Fetch, status: int) -> FetchFailure:
+    def _classify_refusal(self, fetch: Fetch, status: int) -> FetchFailure:
+        """Return the failure that an HTTP status of a peer stands for."""
         if status == 404:
             return FetchFailure.MISSING
         if status == 429:
-            self.referred[fetch.digest] = self.referred.get(fetch.digest, 0) + 1
+            self.referrals[fetch.digest] = self.referrals.get(fetch.digest, 0) + 1
             return FetchFailure.REFERRED
         return FetchFailure.BUSY
 
@@ -387,7 +426,8 @@
             self.context.counts.across_domains += size
             self.context.metrics.count(Metric.BYTES_ACROSS_DOMAINS, size)
 
-    def _take_chunk(self, fetch: Fetch, data: bytes, now: Seconds) -> None:
+    def _store_chunk(self, fetch: Fetch, data: bytes, now: Seconds) -> None:
+        """Store a verified chunk, or count its bytes if it was fetched twice."""
         if not self.planner.arrived(fetch.digest, fetch.source, now):
             self.context.counts.fetched_twice += len(data)
             return
