--- a/src/ridgecourse/loader/__init__.py
+++ b/src/ridgecourse/loader/__init__.py
@@ -1,1 +1,1 @@
-"""Program beside a model engine: brings its weights in and starts them."""
+"""Loader: process beside a model engine that fetches weights and starts the engine."""
--- a/src/ridgecourse/loader/early_staging.py
+++ b/src/ridgecourse/loader/early_staging.py
@@ -1,4 +1,4 @@
-"""Stages chunks as they come, so that they outlast the loader."""
+"""Staging of chunks during a transfer, so that they survive a restart of the loader."""
 
 from collections.abc import Callable
 
@@ -8,18 +8,22 @@
 from ridgecourse.loader.protocol import EngineUnavailable
 from ridgecourse.loader.staging import Staging
 
-LOOK_SECONDS = 0.5
-"""Longest time between two looks whether chunks may be staged by now."""
+POLL_SECONDS = 0.5
+"""Longest interval between checks whether chunks may be staged, in seconds."""
 
 
 class EarlyStaging:
-    """Stages the chunks of one version while others are still on their way.
+    """Stages the chunks of one version while other chunks are still being fetched.
 
-    What a loader has drawn dies with it; what lies staged does not, and a loader that
-    starts takes it in. All of it is checked again before the engine is started.
+    Fetched chunks in memory are lost with the loader process. Staged chunks are not,
+    and a restarted loader reads them back. All staged chunks are verified again before
+    the engine is started.
 
     Attributes:
-        error: Why it ended; None while it goes on.
+        may_stage: Returns whether chunks may be staged yet.
+        staged: Indexes of the chunks that were staged.
+        is_closing: Whether staging is to stop.
+        error: Error that ended the staging; None if there was none.
     """
 
     def __init__(
@@ -29,21 +33,23 @@
         self.holding = holding
         self.may_stage = may_stage
         self.staged: set[int] = set()
-        self.closing = False
+        self.is_closing = False
         self.error: EngineUnavailable | None = None
         self.thread: eventlet.greenthread.GreenThread | None = None
 
     def start(self) -> None:
-        """Begin to stage what comes."""
+        """Start to stage chunks as they arrive."""
         self.thread = eventlet.spawn(self._run)
 
     def close(self) -> None:
-        """Stop, after the chunk in progress: given up, it might be staged later.
+        """Stop after the chunk in progress.
+
+        An aborted call might still be carried out by the engine later.
 
         Raises:
-            EngineUnavailable: The engine gave no usable answer meanwhile.
+            EngineUnavailable: The engine gave no usable answer during the staging.
         """
-        self.closing = True
+        self.is_closing = True
         self.holding.changed.notify()
         if self.thread is not None:
             self.thread.wait()
@@ -52,17 +58,18 @@
 
     def _run(self) -> None:
         try:
-            while not self.closing:
+            while not self.is_closing:
                 self._stage_new()
-                if not self.closing:
-                    self.holding.changed.wait(LOOK_SECONDS)
+                if not self.is_closing:
+                    self.holding.changed.wait(POLL_SECONDS)
         except EngineUnavailable as error:
             self.error = error
 
     def _stage_new(self) -> None:
+        """Stage the chunks that arrived since the last call, if staging is allowed."""
         for index, place in enumerate(self.holding.manifest.chunk_places()):
-            if self.closing or not self.may_stage():
+            if self.is_closing or not self.may_stage():
                 return
-            if index not in self.staged and self.staging.holds(place.digest):
+            if index not in self.staged and self.staging.has_chunk(place.digest):
                 self.staging.put(self.holding.manifest, index)
                 self.staged.add(index)
--- a/src/ridgecourse/loader/gateways.py
+++ b/src/ridgecourse/loader/gateways.py
@@ -1,8 +1,8 @@
-"""The gateways that a loader knows: those that watch it, and at first those it is told.
+"""Gateways that a loader knows: connected gateways and, at first, gateways from seeds.
 
-Gateways find a loader once its engine is listed, some 2 s after the loader's start.
-Until then it asks the instances that its settings name as seeds, so that weights are
-on their way before the engine is there.
+Gateways discover a loader once its engine is in the list of targets, some 2 s after the
+loader's start. Until then the loader asks the seed instances of its settings for
+gateways, so that it fetches weights before the engine is available.
 """
 
 from collections import Counter
@@ -18,20 +18,24 @@
 from ridgecourse.net.threads import spawn_loop
 from ridgecourse.wire.codec import decode_message
 
-ASK_SECONDS = 0.3
-"""Between two questions to the seeds."""
-ANSWER_SECONDS = 0.5
-INTRODUCED_SECONDS = 4.0
-"""How long, from the start on, gateways count that were only told of: an engine is
-listed and its loader found by then, and one that is gone must not count for longer."""
+SEED_INTERVAL_SECONDS = 0.3
+"""Interval of requests to the seeds, in seconds."""
+ANSWER_TIMEOUT_SECONDS = 0.5
+"""Timeout of one request to a seed, in seconds."""
+SEED_GATEWAYS_SECONDS = 4.0
+"""Seconds from the loader's start during which gateways named only by a seed are used.
+By then the engine is listed and gateways have discovered the loader; a gateway that has
+failed must not be used for longer."""
 
 
 class KnownGateways:
-    """Gateways that bring weights in.
+    """Gateways that fetch weights into the domain.
 
     Attributes:
-        connected: Those that watch this loader, with the number of their connections.
-        introduced: Those that a seed told of.
+        seeds: HOST:PORT of the seeds to ask.
+        connected: Gateways that watch this loader, with their numbers of connections.
+        seed_gateways: Gateways that a seed returned.
+        seed_gateways_until: Time until which ``seed_gateways`` are used.
     """
 
     def __init__(
@@ -41,34 +45,39 @@
         self.http = http
         self.events = events
         self.connected: Counter[Peer] = Counter()
-        self.introduced: list[Peer] = []
-        self.introduced_until = boottime() + INTRODUCED_SECONDS
+        self.seed_gateways: list[Peer] = []
+        self.seed_gateways_until = boottime() + SEED_GATEWAYS_SECONDS
         self.thread: eventlet.greenthread.GreenThread | None = None
 
     def start(self) -> None:
-        """Begin to ask the seeds."""
-        self.thread = spawn_loop(self._ask_seeds)
+        """Start to query the seeds."""
+        self.thread = spawn_loop(self._query_seeds)
 
     def close(self) -> None:
-        """Stop."""
+        """Stop querying the seeds."""
         if self.thread is not None:
             self.thread.kill()
 
     def __iter__(self) -> Iterator[Peer]:
-        """Yield the gateways known now."""
+        """Yield the gateways that are currently known."""
         yield from self.connected
-        if boottime() < self.introduced_until:
-            yield from (peer for peer in self.introduced if peer not in self.connected)
+        if boottime() < self.seed_gateways_until:
+            yield from (
+                peer for peer in self.seed_gateways if peer not in self.connected
+            )
 
     def __bool__(self) -> bool:
         return any(True for _ in self)
 
-    def count(self, gateway: Peer | None, change: int) -> bool:
-        """Note a connection that came or went; tell whether a gateway did.
+    def record_connection(self, gateway: Peer | None, change: int) -> bool:
+        """Record an opened or closed connection.
 
         Args:
-            gateway: Whose; None for one that brings no weights in.
-            change: 1 or -1.
+            gateway: Gateway of the connection; None if it fetches no weights.
+            change: 1 for an opened connection, -1 for a closed one.
+
+        Returns:
+            Whether a gateway connected first or disconnected last.
         """
         if gateway is None:
             return False
@@ -82,19 +91,20 @@
         self.events.emit(EventKind.GATEWAYS_KNOWN, gateways=names)
         return True
 
-    def _ask_seeds(self) -> None:
-        while not self.introduced and boottime() < self.introduced_until:
+    def _query_seeds(self) -> None:
+        """Query the seeds in order until one returns gateways or the time is over."""
+        while not self.seed_gateways and boottime() < self.seed_gateways_until:
             for seed in self.seeds:
-                self.introduced = self._ask(seed)
-                if self.introduced:
+                self.seed_gateways = self._query_seed(seed)
+                if self.seed_gateways:
                     break
-            eventlet.sleep(ASK_SECONDS)
+            eventlet.sleep(SEED_INTERVAL_SECONDS)
 
-    def _ask(self, seed: str) -> list[Peer]:
-        """Return the gateways that a seed knows, none where it does not answer."""
+    def _query_seed(self, seed: str) -> list[Peer]:
+        """Return the gateways that a seed knows; empty if it gives no valid answer."""
         try:
             status, data, _ = self.http.fetch(
-                "GET", seed, GATEWAYS_PATH, timeout=ANSWER_SECONDS
+                "GET", seed, GATEWAYS_PATH, timeout=ANSWER_TIMEOUT_SECONDS
             )
         except (NoConnection, ExchangeFailed) as error:
             self.events.figures.count("seed_unanswered")
--- a/src/ridgecourse/loader/latest_life.py
+++ b/src/ridgecourse/loader/latest_life.py
@@ -1,4 +1,4 @@
-"""The engine beside a loader, without what its earlier lives still say."""
+"""Engine control that discards reports of earlier incarnations of the engine."""
 
 from ridgecourse.core.engine_life import is_before
 from ridgecourse.core.ids import EngineStart, ModelName, WeightsVersion
@@ -12,51 +12,51 @@
 from ridgecourse.net.events import EventKind, EventStream
 
 
-class LatestLife(EngineControl):
-    """Passes calls on to the engine, and no report of an earlier life back.
+class LatestIncarnation(EngineControl):
+    """Forwards calls to the engine and discards reports of earlier incarnations.
 
-    A process that was frozen answers late on connections that it still holds, while
-    its engine has started again.
+    A frozen process answers late on connections that it still holds, while the
+    engine has been started again.
 
     Attributes:
-        started: Start of the latest life; None if none was told.
-        invalid: What was wrong with the report that was logged last.
+        started: Start of the latest incarnation; None if no report had a start time.
+        logged_error: Error of the invalid report that was logged last.
     """
 
     def __init__(self, engine: EngineControl, events: EventStream) -> None:
         self.engine = engine
         self.events = events
         self.started: EngineStart | None = None
-        self.invalid = ""
+        self.logged_error = ""
 
     def report(self) -> EngineReport:
-        """Return what the latest life tells; see ``EngineControl``."""
+        """Return the report of the latest incarnation; see ``EngineControl``."""
         try:
             report = self.engine.report()
         except InvalidReport as error:
-            self._note_invalid(str(error))
+            self._record_invalid(str(error))
             raise
         if is_before(report.started, self.started):
-            raise EngineUnavailable("an earlier life of the engine answered")
+            raise EngineUnavailable("an earlier incarnation of the engine answered")
         if is_before(self.started, report.started):
             self.events.emit(EventKind.ENGINE_RESTARTED, started=report.started)
         if report.started is not None:
             self.started = report.started
         return report
 
-    def _note_invalid(self, error: str) -> None:
-        """Count a report that cannot be read, and log it once."""
+    def _record_invalid(self, error: str) -> None:
+        """Count a report that cannot be decoded; log its error once if it repeats."""
         self.events.figures.count("engine_reports_invalid")
-        if error != self.invalid:
-            self.invalid = error
+        if error != self.logged_error:
+            self.logged_error = error
             self.events.emit(EventKind.BAD_INPUT, error=error)
 
     def start(self, model: ModelName, version: WeightsVersion) -> OrderOutcome:
-        """Order the engine to serve what lies staged; see ``EngineControl``."""
+        """Order the engine to serve the staged version; see ``EngineControl``."""
         return self.engine.start(model, version)
 
     def stage(self, model: ModelName, index: int, data: bytes) -> None:
-        """Put a chunk into the staging area; see ``EngineControl``."""
+        """Write a chunk to the staging area; see ``EngineControl``."""
         self.engine.stage(model, index, data)
 
     def staged(self, model: ModelName, index: int) -> bytes | None:
--- a/src/ridgecourse/loader/loader.py
+++ b/src/ridgecourse/loader/loader.py
@@ -1,4 +1,4 @@
-"""The loader process: ties engine, exchange of weights and store together."""
+"""Loader process: connects the engine, the weights exchange and the record store."""
 
 from collections.abc import Collection, Sequence
 
@@ -16,7 +16,7 @@
 from ridgecourse.exchange.server import Exchange
 from ridgecourse.exchange.store import ChunkStore
 from ridgecourse.loader.gateways import KnownGateways
-from ridgecourse.loader.latest_life import LatestLife
+from ridgecourse.loader.latest_life import LatestIncarnation
 from ridgecourse.loader.protocol import EngineControl
 from ridgecourse.loader.rollout import Rollout
 from ridgecourse.loader.status import StatusFeed
@@ -35,26 +35,29 @@
 from ridgecourse.net.websocket import ChannelClosed, ControlChannel, ControlServer
 from ridgecourse.wire.control import Follow, LoaderMessage
 
-DECISION_WAIT_SECONDS = 5.0
-"""Longest wait of one read for a new version; no rule binds a loader to seconds."""
+DECISION_READ_SECONDS = 5.0
+"""Longest wait of one read for a new version, in seconds; no time limit applies to the
+reads of a loader."""
 TARGETS_PAUSE_SECONDS = 6.0
-"""Between two reads of the list, which here only tells which engines start early."""
+"""Interval between reads of the list of targets, in seconds; a loader uses the list
+only to determine which engines start early."""
 STORE_BYTES = 64 * 1024 * 1024
-"""Memory for chunks: some versions of a few MB."""
-LINK_SHARE = 0.94
-"""Share of the instance's incoming link that weights may use: an engine's requests
-need some 3 in 100 of it."""
+"""Memory for chunks in bytes: enough for several versions of a few MB."""
+WEIGHTS_LINK_SHARE = 0.94
+"""Share of the instance's incoming link that weights may use: requests to the engine
+need some 3 in 100 of the link."""
 UPLOAD_QUEUE = 6
-"""Requests for chunks that may wait for an upload slot: a chunk takes some 50 ms,
-less than a refused loader waits before it asks again."""
+"""Number of chunk requests that may wait for an upload slot: a chunk takes some 50 ms,
+less than the pause of a refused loader before its next request."""
 FETCHES = 2
-"""Chunks asked for at a time: enough that the link is never idle, and few enough
-that little has queued up before a link that narrows."""
+"""Concurrent fetches: enough to keep the link busy, and few enough that little data is
+queued when the link's bandwidth drops."""
 FIRST_MESSAGE_SECONDS = 2.0
+"""Longest wait for the first message on a control connection, in seconds."""
 
 
 class Loader(SiteProcess, Neighbours):
-    """One loader, beside one engine."""
+    """Loader of one engine, on the engine's instance."""
 
     def __init__(
         self,
@@ -69,10 +72,10 @@
         super().__init__(site, events)
         control_port, chunk_port = site.peer_ports[0], site.peer_ports[0] + 1
         seeds = seed_peers(site.seeds, chunk_port)
-        self.place = Peer(TargetName(site.host), site.domain, "", "")
+        self.location = Peer(TargetName(site.host), site.domain, "", "")
         store = StoreRecords(source, decoder)
         pace = ReadPace(
-            DECISION_WAIT_SECONDS, TARGETS_PAUSE_SECONDS, TARGETS_PAUSE_SECONDS
+            DECISION_READ_SECONDS, TARGETS_PAUSE_SECONDS, TARGETS_PAUSE_SECONDS
         )
         self.view = open_view(site, store, self, self.events, pace)
         self.context = ExchangeContext(
@@ -82,17 +85,17 @@
             http=http,
             store=ChunkStore(STORE_BYTES),
             link=LinkPolicy(
-                upload_bytes_per_s=site.upload_bytes_per_s * LINK_SHARE,
+                upload_bytes_per_s=site.upload_bytes_per_s * WEIGHTS_LINK_SHARE,
                 upload_queue=UPLOAD_QUEUE,
             ),
             plan=PlanPolicy(fetches=FETCHES),
-            rate=AdaptiveRate(site.upload_bytes_per_s * LINK_SHARE),
+            rate=AdaptiveRate(site.upload_bytes_per_s * WEIGHTS_LINK_SHARE),
             source=site.host,
             digest=sha256_digest,
             region=site.region,
         )
         self.exchange = Exchange(self.context)
-        engine = LatestLife(engine, self.events)
+        engine = LatestIncarnation(engine, self.events)
         self.gateways = KnownGateways(seeds, http, self.events)
         self.rollout = Rollout(
             site,
@@ -118,7 +121,7 @@
         )
 
     def start(self) -> None:
-        """Open both servers, read the store and drive the engine."""
+        """Open the servers, and start to read the store and to control the engine."""
         self.http_server.start()
         self.figures.start()
         self.control_server.start()
@@ -131,10 +134,13 @@
         self.events.emit(EventKind.STARTED, http=str(self.http_server.address))
 
     def handle_channel(self, channel: ControlChannel) -> None:
-        """Tell another process what it asks for, until it goes away.
+        """Serve a control connection until the other process disconnects.
+
+        The first message selects the feed: holdings of a version, or the engine's
+        load.
 
         Raises:
-            ChannelClosed: It went away.
+            ChannelClosed: The other process disconnected or sent no first message.
         """
         first = channel.receive(LoaderMessage, FIRST_MESSAGE_SECONDS)
         if first is None:
@@ -145,36 +151,40 @@
             self.feed.tell(channel, first)
 
     def known_gateways(self) -> Collection[Peer]:
-        """Return the gateways that are known."""
+        """Return the gateways that are currently known."""
         return list(self.gateways)
 
     def choose_parent(self, avoided: Collection[TargetName]) -> Peer | None:
-        """Return whom to read decisions from; None for the store."""
+        """Return the parent to read decisions from; None to read the store."""
         loaders = [
             peer.name
             for peer in self.rollout.other_loaders().values()
-            if peer.domain == self.place.domain
+            if peer.domain == self.location.domain
         ]
-        return loader_parent(self.place, list(self.gateways), avoided, loaders)
+        return loader_parent(self.location, list(self.gateways), avoided, loaders)
 
     def record_peers(self) -> Sequence[str]:
-        """Return whom to ask for the store's records, the nearest first."""
+        """Return the addresses to fetch the store's records from, nearest first."""
         ports = self.rollout.chunk_port, self.rollout.control_port
         loaders = self.rollout.other_loaders()
-        known = nearest_first([*self.gateways, *loaders.values()], self.place)
+        known = nearest_first([*self.gateways, *loaders.values()], self.location)
         seeds = seed_peers(self.site.seeds, ports[0])
         return list(dict.fromkeys([*known, *seeds]))
 
     def take_bounds(self) -> None:
-        """Use the operators' limits as they stand in the settings now."""
+        """Apply the operators' limits from the current settings."""
         self.view.take_version_bound(self.site.bounds.version_seconds)
 
     def drain(self) -> None:
-        """Stop; other loaders have what this one held, or fetch it anew."""
+        """Announce the shutdown.
+
+        Nothing is handed over: other loaders have the chunks that this loader held, or
+        fetch them again.
+        """
         self.events.emit(EventKind.STOPPING)
 
     def close(self) -> None:
-        """Release everything."""
+        """Stop all components and close the servers."""
         self.feed.close()
         self.rollout.close()
         self.relay.close()
--- a/src/ridgecourse/loader/protocol.py
+++ b/src/ridgecourse/loader/protocol.py
@@ -1,4 +1,4 @@
-"""What a platform's adapter provides to the loader."""
+"""Interface between the loader and a platform's adapter for the model engine."""
 
 from abc import ABC, abstractmethod
 from enum import Enum
@@ -14,26 +14,29 @@
 
 
 class InvalidReport(EngineUnavailable):
-    """The engine's report cannot be read."""
+    """The engine's report cannot be decoded."""
 
 
 class StagingUnanswered(EngineUnavailable):
-    """The engine may still carry out a call that put a chunk into its staging area."""
+    """A call that writes a chunk to the staging area got no answer.
+
+    The engine may still carry out the call.
+    """
 
 
 class EngineReport(Struct, frozen=True):
-    """What an engine tells of itself.
+    """State that an engine reports.
 
     Attributes:
-        layers: Layers that it serves; None for none.
-        orders: Orders taken so far in this life.
-        busy: Whether it carries out an order.
-        queued: Requests that wait.
-        active: Requests in progress.
-        cache_used: Tokens of context in memory that cannot give way.
-        cache_total: Tokens of context that fit.
-        pace: How much slower than usual it is; 1 for usual.
-        started: When it started; None if it does not tell.
+        layers: Layers that the engine serves; None for none.
+        orders: Number of orders accepted in this incarnation.
+        busy: Whether the engine is carrying out an order.
+        queued: Number of waiting requests.
+        active: Number of requests in progress.
+        cache_used: Tokens of context in memory that cannot be evicted.
+        cache_total: Tokens of context that fit into memory.
+        pace: Slowdown of the engine relative to its usual speed; 1 for the usual speed.
+        started: Start time of the engine; None if the engine does not report it.
     """
 
     layers: HeldLayers | None
@@ -47,7 +50,12 @@
     started: EngineStart | None = None
 
     def serves(self, version: WeightsVersion, layers: int) -> bool:
-        """Tell whether it serves a whole model of a version."""
+        """Check whether the engine serves all layers of a version.
+
+        Args:
+            version: The version.
+            layers: Number of layers of the model.
+        """
         held = self.layers
         if held is None or held.version != version:
             return False
@@ -55,12 +63,12 @@
 
 
 class OrderOutcome(Enum):
-    """What became of an order.
+    """Result of an order to the engine.
 
-    BEGUN: The engine carries it out.
-    HELD: It is done, or was already.
-    REFUSED: It does not fit the engine's state.
-    UNKNOWN: It may have been taken.
+    BEGUN: The engine is carrying out the order.
+    HELD: The order is complete, or the engine was already in the ordered state.
+    REFUSED: The engine's state does not allow the order.
+    UNKNOWN: The engine may have accepted the order.
     """
 
     BEGUN = "begun"
@@ -70,11 +78,11 @@
 
 
 class StartOrder(Struct, frozen=True):
-    """An order to start that one life of the engine took.
+    """A start order that one incarnation of the engine accepted.
 
     Attributes:
-        version: What is to be served.
-        started: When that life started; None if it does not tell.
+        version: Version that the engine was ordered to serve.
+        started: Start time of that incarnation; None if the engine does not report it.
     """
 
     version: WeightsVersion
@@ -82,7 +90,7 @@
 
 
 class Phase(Enum):
-    """What a loader is doing."""
+    """Phase of a rollout in one loader."""
 
     WAITING = "waiting"
     MANIFEST = "manifest"
@@ -93,33 +101,33 @@
 
 
 class EngineControl(ABC):
-    """Orders to the engine on the own instance, and its staging area."""
+    """Control of the engine on the local instance, and of its staging area."""
 
     @abstractmethod
     def report(self) -> EngineReport:
-        """Return what it tells of itself.
+        """Return the engine's current report.
 
         Raises:
-            InvalidReport: The answer cannot be read.
-            EngineUnavailable: It gave no usable answer.
+            InvalidReport: The answer cannot be decoded.
+            EngineUnavailable: The engine gave no usable answer.
         """
 
     @abstractmethod
     def start(self, model: ModelName, version: WeightsVersion) -> OrderOutcome:
-        """Order it to serve what lies staged, after what it has begun."""
+        """Order the engine to serve the staged version after the order in progress."""
 
     @abstractmethod
     def stage(self, model: ModelName, index: int, data: bytes) -> None:
-        """Put a chunk into the staging area, over what lies there.
+        """Write a chunk to the staging area, replacing the data at its index.
 
         Raises:
-            EngineUnavailable: It gave no usable answer.
+            EngineUnavailable: The engine gave no usable answer.
         """
 
     @abstractmethod
     def staged(self, model: ModelName, index: int) -> bytes | None:
-        """Return a staged chunk, None where there is none.
+        """Return a staged chunk; None if nothing is staged at its index.
 
         Raises:
-            EngineUnavailable: It gave no usable answer.
+            EngineUnavailable: The engine gave no usable answer.
         """
--- a/src/ridgecourse/loader/rollout.py
+++ b/src/ridgecourse/loader/rollout.py
@@ -1,4 +1,8 @@
-"""Brings the engine to the version that is to be served, and keeps it there."""
+"""Rollout of the wanted version on one engine.
+
+Polls the engine, and fetches, stages and starts the version that the engine should
+serve whenever the engine does not serve it.
+"""
 
 import logging
 from collections.abc import Mapping, Sequence
@@ -39,40 +43,48 @@
 
 logger = logging.getLogger(__name__)
 
-IDLE_SECONDS = 0.5
-"""Between two looks at an engine that serves what it should; a crash of the
-engine is noticed within this."""
-WORK_SECONDS = 0.1
-"""Between two looks at an engine that carries out an order."""
-SETTLE_SECONDS = 3.0
-"""From its start on, how long a loader without any gateway waits for one before it
-turns to other loaders: gateways read the list of targets each 1.1 s."""
-ENGINE_SECONDS = 0.6
-"""From its start on, how long a loader waits for its engine before it fetches weights
-without it. An engine that was restarted beside it is there sooner, and has them."""
-STRAY_SECONDS = 2.0
-"""How long after a call that put a chunk into the staging area went unanswered the
-engine is not started: carried out late, it would put a chunk of an older version among
-those just checked. Such a call has waited a second already."""
-MANIFEST_PATIENCE_SECONDS = 1.0
-"""How long hubs are asked for a manifest before the origin is: theirs takes some
-round trips."""
+IDLE_POLL_SECONDS = 0.5
+"""Poll interval of an engine that serves the wanted version, in seconds; a crash of the
+engine is detected within this time."""
+BUSY_POLL_SECONDS = 0.1
+"""Poll interval of an engine that carries out an order, in seconds."""
+GATEWAY_WAIT_SECONDS = 3.0
+"""Seconds from the loader's start during which it waits for a gateway before it fetches
+from other loaders: gateways read the list of targets every 1.1 s."""
+ENGINE_WAIT_SECONDS = 0.6
+"""Seconds from the loader's start during which it waits for its engine before it
+fetches weights without the engine. An engine that was restarted together with the
+loader answers sooner, and has the weights."""
+UNANSWERED_CALL_SECONDS = 2.0
+"""Seconds after an unanswered call to write a staged chunk during which the engine is
+not started: the call, if carried out late, would write a chunk of an older version
+among chunks that were just verified. Such a call has already waited 1 s."""
+MANIFEST_PEERS_SECONDS = 1.0
+"""Seconds for which hubs are asked for a manifest before the origin is asked: a
+manifest from a hub takes some round trips."""
 
 
 class Rollout(TransferOwner):
-    """Drives one engine.
+    """Rollout of versions on one engine.
 
     Attributes:
-        phase: What is being done.
-        version: The version it is done for.
-        error: What stands in the way; empty for nothing.
-        ordered: The last order; None for none.
-        staged: What was staged last; None where that may have changed since.
-        whole_at: Since when each version is whole here; some are named in a day.
-        hubs: Where the transfer in progress takes chunks from.
-        prefetching: Whether it goes on without the engine.
-        stray_until: Until when an unanswered call may still change what lies staged.
-        offering: Versions whose staged chunks are being read for others.
+        phase: Current phase.
+        version: Version that the phase applies to.
+        error: Error that blocks the rollout; empty if none.
+        ordered: Last order that the engine accepted; None for none.
+        staged: Version that was staged last; None if the staging area may have changed
+            since.
+        complete_since: Since when each version is complete in this loader; only a few
+            versions are published in a day.
+        transfer: Transfer in progress; None for none.
+        hubs: Sources of the transfer in progress; empty if loaders fetch from each
+            other.
+        is_prefetching: Whether a transfer runs while the engine is unavailable.
+        prefetch_at: Time from which weights are fetched without the engine.
+        gateway_wait_until: Time until which the loader waits for a first gateway.
+        unanswered_call_until: Time until which an unanswered call may still change the
+            staging area.
+        offering: Versions whose staged chunks are being loaded for other processes.
     """
 
     def __init__(
@@ -84,7 +96,7 @@
         engine: EngineControl,
         origin: WeightsOrigin,
         gateways: KnownGateways,
-        peer_address: tuple[int, int],
+        peer_ports: tuple[int, int],
     ) -> None:
         assert site.target is not None
         self.site = site
@@ -96,19 +108,20 @@
         self.engine = engine
         self.origin = origin
         self.gateways = gateways
-        self.chunk_port, self.control_port = peer_address
+        self.chunk_port, self.control_port = peer_ports
         self.catalogue = Catalogue(context, origin, self.offer)
         self.phase = Phase.WAITING
         self.version = WeightsVersion(0)
         self.error = ""
-        self.alone_until = boottime() + SETTLE_SECONDS
-        self.stray_until = Seconds(0.0)
-        self.prefetching = False
-        # At the first start of all, engines come up with the first version staged.
-        self.prefetch_at = inf if site.first_start else boottime() + ENGINE_SECONDS
+        self.gateway_wait_until = boottime() + GATEWAY_WAIT_SECONDS
+        self.unanswered_call_until = Seconds(0.0)
+        self.is_prefetching = False
+        # When the whole site starts for the first time, engines start with the first
+        # version staged.
+        self.prefetch_at = inf if site.first_start else boottime() + ENGINE_WAIT_SECONDS
         self.ordered: StartOrder | None = None
         self.staged: StagedVersion | None = None
-        self.whole_at: dict[VersionKey, Seconds] = {}
+        self.complete_since: dict[VersionKey, Seconds] = {}
         self.transfer: Transfer | None = None
         self.hubs: Sequence[Peer] = []
         self.offering: set[VersionKey] = set()
@@ -116,12 +129,12 @@
         self.threads: list = []
 
     def start(self) -> None:
-        """Begin to drive the engine."""
+        """Start to control the engine."""
         self.threads.append(spawn_loop(self._run))
         self.watch.start()
 
     def close(self) -> None:
-        """Stop."""
+        """Stop controlling the engine and close the transfer in progress."""
         self.watch.close()
         for thread in self.threads:
             thread.kill()
@@ -129,48 +142,55 @@
             self.transfer.close()
 
     def _run(self) -> None:
+        """Run steps repeatedly; wait for changes of the view between them."""
         while True:
             try:
                 wait = self._step()
             except EngineUnavailable as error:
                 if isinstance(error, StagingUnanswered):
-                    self.stray_until = Seconds(boottime() + STRAY_SECONDS)
-                self._set(Phase.WAITING, f"engine: {error}")
-                wait = WORK_SECONDS
+                    self.unanswered_call_until = Seconds(
+                        boottime() + UNANSWERED_CALL_SECONDS
+                    )
+                self._set_phase(Phase.WAITING, f"engine: {error}")
+                wait = BUSY_POLL_SECONDS
             self.view.changed.wait(wait)
 
     def _step(self) -> float:
-        """Do what is next; return the longest wait until the step after."""
-        found = self.find_model()
-        if found is None:
-            self._set(Phase.WAITING, "no configuration")
-            return IDLE_SECONDS
-        model, place = found
+        """Carry out the next step; return the longest wait until the following step."""
+        configured = self.find_model()
+        if configured is None:
+            self._set_phase(Phase.WAITING, "no configuration")
+            return IDLE_POLL_SECONDS
+        model, origin_place = configured
         wanted = self.view.wanted_version(model.model)
         try:
             report = self.engine.report()
         except EngineUnavailable as error:
-            return self._prefetch((model.model, wanted), place, str(error))
+            return self._prefetch((model.model, wanted), origin_place, str(error))
         if report.busy and self.ordered == StartOrder(wanted, report.started):
-            return WORK_SECONDS
+            return BUSY_POLL_SECONDS
         if report.serves(wanted, model.layers):
-            self._set(Phase.SERVING, "", wanted)
-            return IDLE_SECONDS
-        return self._bring(self.watch.choose(model, wanted, report), place, report)
+            self._set_phase(Phase.SERVING, "", wanted)
+            return IDLE_POLL_SECONDS
+        return self._fetch_and_start(
+            self.watch.choose(model, wanted, report), origin_place, report
+        )
 
-    def _prefetch(self, key: VersionKey, place: OriginPlace, error: str) -> float:
-        """Fetch a version's chunks while the engine is not there yet."""
+    def _prefetch(
+        self, key: VersionKey, origin_place: OriginPlace, error: str
+    ) -> float:
+        """Fetch a version's chunks while the engine is unavailable."""
         holding = self.catalogue.holdings.get(key)
         if boottime() < self.prefetch_at or (holding and holding.complete):
-            self._set(Phase.WAITING, f"engine: {error}")
+            self._set_phase(Phase.WAITING, f"engine: {error}")
         else:
-            self.prefetching = True
-            self._obtain(key, place, None)
-            self.prefetching = False
-        return WORK_SECONDS
+            self.is_prefetching = True
+            self._fetch_version(key, origin_place, None)
+            self.is_prefetching = False
+        return BUSY_POLL_SECONDS
 
     def find_model(self) -> tuple[EngineModel, OriginPlace] | None:
-        """Return the engine's model and its origin, None before they are known."""
+        """Return the engine's model and its origin; None if the config lacks them."""
         config = self.view.config
         if config is None or config.origin is None:
             return None
@@ -179,9 +199,10 @@
             return None
         return service.engine, config.origin
 
-    def _set(
+    def _set_phase(
         self, phase: Phase, error: str, version: WeightsVersion | None = None
     ) -> None:
+        """Set the phase, and emit an event if the phase, error or version changed."""
         if version is None:
             version = self.version
         if (phase, error, version) == (self.phase, self.error, self.version):
@@ -195,13 +216,13 @@
         )
 
     def transfer_seconds(self, holding: Holding) -> float:
-        """Return the seconds that a transfer still takes at the link's speed."""
+        """Return the remaining seconds of a transfer at the full speed of the link."""
         return holding.missing_bytes() / self.site.upload_bytes_per_s
 
     def sources(self, key: VersionKey) -> tuple[Mapping[TargetName, Peer], list]:
-        """Return whom to take a version from, and which of them are hubs.
+        """Return the peers to fetch a version from, and the names of hubs among them.
 
-        Without any gateway the loaders take it from each other.
+        Without any gateway, loaders fetch the version from each other.
         """
         self.hubs = choose_hubs(str(key), self.gateways)
         if not self.hubs:
@@ -210,18 +231,18 @@
         return peers, list(peers)
 
     def other_loaders(self) -> Mapping[TargetName, Peer]:
-        """Return the loaders of the service's other engines, by instance."""
+        """Return the loaders of the service on other instances, by instance."""
         return loader_peers(self.engines.others(), (self.chunk_port, self.control_port))
 
     def starts_early(self, key: VersionKey) -> bool:
-        """Tell whether this engine is in the half that takes new weights first."""
+        """Check whether the local engine is in the half that switches weights first."""
         return self.engines.starts_early(key)
 
     def offer(self, key: VersionKey) -> None:
-        """Take part in the exchange of the version that the engine serves.
+        """Offer the version that the engine serves to other processes.
 
-        Its chunks lie staged. So gateways get the first version, which nobody
-        brought in, without the origin and its border.
+        The chunks of that version are staged. So gateways can fetch the first version,
+        which no hub fetched, without traffic from the origin across a domain border.
         """
         serving = self.phase is Phase.SERVING and key[1] == self.version
         if serving and key not in self.offering:
@@ -230,80 +251,86 @@
 
     def _offer_staged(self, key: VersionKey) -> None:
         try:
-            self._offer_once(key)
+            self._load_and_join(key)
         finally:
             self.offering.discard(key)
 
-    def _offer_once(self, key: VersionKey) -> None:
-        found = self.find_model()
-        if found is None:
+    def _load_and_join(self, key: VersionKey) -> None:
+        """Load the staged chunks of a version and join the exchange of the version."""
+        configured = self.find_model()
+        if configured is None:
             return
-        holding = self.catalogue.find(key, found[1].address, [], 0.0)
+        holding = self.catalogue.find(key, configured[1].address, [], 0.0)
         if holding is None:
             return
         try:
-            Staging(self.context, self.engine, key[0]).take_in(holding.manifest)
+            Staging(self.context, self.engine, key[0]).load_staged(holding.manifest)
         except EngineUnavailable as error:
-            logger.warning("cannot offer %s: %s", key, error)
+            logger.warning("cannot offer version %s to other processes: %s", key, error)
             return
-        self._join(key, holding)
+        self._join_exchange(key, holding)
 
-    # Steps.
-
-    def _join(self, key: VersionKey, holding: Holding) -> None:
-        """Take part in a version's exchange; drop what is older than needed."""
-        for old in self.catalogue.drop_old(key[0]):
-            self.exchange.leave(old.root)
+    def _join_exchange(self, key: VersionKey, holding: Holding) -> None:
+        """Join a version's exchange; drop versions that are not retained any more."""
+        for dropped in self.catalogue.drop_old(key[0]):
+            self.exchange.leave(dropped.root)
         self.catalogue.retain_chunks()
         if holding.root not in self.exchange.holdings:
             self.exchange.join(holding)
 
-    def _bring(
-        self, key: VersionKey, place: OriginPlace, report: EngineReport
+    def _fetch_and_start(
+        self, key: VersionKey, origin_place: OriginPlace, report: EngineReport
     ) -> float:
-        """Bring a version in and start it."""
+        """Fetch, stage and start a version; return the wait until the next step."""
         staging = Staging(self.context, self.engine, key[0])
-        holding = self._obtain(key, place, staging)
+        holding = self._fetch_version(key, origin_place, staging)
         if holding is None:
-            return WORK_SECONDS
-        return self._take(key, holding, staging, report)
+            return BUSY_POLL_SECONDS
+        return self._stage_and_start(key, holding, staging, report)
 
-    def _obtain(
-        self, key: VersionKey, place: OriginPlace, staging: Staging | None
+    def _fetch_version(
+        self, key: VersionKey, origin_place: OriginPlace, staging: Staging | None
     ) -> Holding | None:
-        """Return a version's holding once all its chunks are here, else None.
+        """Fetch a version's missing chunks.
 
         Args:
             key: The version.
-            place: Where its origin stands.
-            staging: Where some of it may lie; None while the engine is away.
+            origin_place: Address and domain of the origin.
+            staging: Staging area that may contain chunks of the version; None while the
+                engine is unavailable.
+
+        Returns:
+            The holding once it is complete; None if it is not.
         """
-        if not self.gateways and boottime() < self.alone_until:
+        if not self.gateways and boottime() < self.gateway_wait_until:
             return None
         known = self.catalogue.holdings.get(key)
         if known is not None and known.complete:
-            self._join(key, known)
+            self._join_exchange(key, known)
             return known
-        self._set(Phase.MANIFEST, "", key[1])
+        self._set_phase(Phase.MANIFEST, "", key[1])
         peers, hubs = self.sources(key)
-        near = sorted(peers.values(), key=lambda peer: peer.domain != self.site.domain)
-        asked = near if hubs else []
+        sorted_peers = sorted(
+            peers.values(), key=lambda peer: peer.domain != self.site.domain
+        )
+        manifest_peers = sorted_peers if hubs else []
         holding = self.catalogue.find(
-            key, place.address, asked, MANIFEST_PATIENCE_SECONDS
+            key, origin_place.address, manifest_peers, MANIFEST_PEERS_SECONDS
         )
         if holding is None:
-            self._set(Phase.MANIFEST, "no manifest", key[1])
+            self._set_phase(Phase.MANIFEST, "no manifest", key[1])
             return None
         if staging is not None and not holding.complete:
-            staging.take_in(holding.manifest)
-        self._join(key, holding)
+            staging.load_staged(holding.manifest)
+        self._join_exchange(key, holding)
         if holding.complete:
             return holding
         if hubs:
-            # Known or not, the hub may be a new one that has not begun.
-            eventlet.spawn(self.catalogue.ask, near[0], key)
-        origin = self.origin.chunks(place.address, *key)
-        needed, domain = partial(self.is_needed, key), place.domain
+            # Even if the manifest is known, the hub may be new and may not have started
+            # to fetch the version. The request makes the hub start.
+            eventlet.spawn(self.catalogue.ask, sorted_peers[0], key)
+        origin = self.origin.chunks(origin_place.address, *key)
+        needed, domain = partial(self.is_needed, key), origin_place.domain
         transfer = Transfer(
             self.context, origin, holding, peers, 1, hubs, domain, is_needed=needed
         )
@@ -311,74 +338,83 @@
             return holding if self._run_transfer(key, transfer) else None
         self.staged = None
         required = partial(self.is_required, key)
-        early = EarlyStaging(staging, holding, required)
-        early.start()
+        early_staging = EarlyStaging(staging, holding, required)
+        early_staging.start()
         try:
-            whole = self._run_transfer(key, transfer)
+            is_complete = self._run_transfer(key, transfer)
         finally:
-            early.close()
-        return holding if whole else None
+            early_staging.close()
+        return holding if is_complete else None
 
     def is_required(self, key: VersionKey) -> bool:
-        """Tell whether nothing may begin on older versions than this one."""
+        """Check whether requests may not be started on versions older than this one."""
         history = self.view.history(key[0])
         return history.required(boottime()) >= key[1]
 
     def _run_transfer(self, key: VersionKey, transfer: Transfer) -> bool:
-        """Fetch the missing chunks; tell whether all are held."""
-        self._set(Phase.TRANSFER, "", key[1])
+        """Run a transfer; return whether the version is complete."""
+        self._set_phase(Phase.TRANSFER, "", key[1])
         self.transfer = transfer
         try:
             return transfer.run()
         except TransferError as error:
-            self._set(Phase.TRANSFER, str(error), key[1])
-            self.watch.given_up.add(key)
+            self._set_phase(Phase.TRANSFER, str(error), key[1])
+            self.watch.abandoned.add(key)
             return False
         finally:
             self.transfer = None
 
-    def _take(
+    def _stage_and_start(
         self,
         key: VersionKey,
         holding: Holding,
         staging: Staging,
         report: EngineReport,
     ) -> float:
-        """Stage a version that is held, and start it when its time has come."""
-        self._set(Phase.STAGING, "", key[1])
+        """Stage a complete version and start it when it is the engine's turn.
+
+        Returns:
+            The longest wait until the next step, in seconds.
+        """
+        self._set_phase(Phase.STAGING, "", key[1])
         staged = StagedVersion(holding.root, report.started)
         if self.staged != staged:
-            # Not at each look while it waits: a wait of 3 s took five readings of all.
+            # Not repeated at every poll of the wait: a wait of 3 s read all chunks
+            # 5 times.
             staging.fill(holding.manifest)
             self.staged = staged
         wait = self._start_wait(key, report)
         if wait > 0:
-            return min(wait, IDLE_SECONDS)
-        # Once more, shortly before it is taken: chunks turn bad where they lie.
+            return min(wait, IDLE_POLL_SECONDS)
+        # Verify again immediately before the start: staged chunks may become corrupt.
         repaired = staging.fill(holding.manifest)
         if self.engine.report().started == report.started:
-            self._start(key, repaired, report)
-        # Else what was found whole may have gone with the engine's earlier life.
-        return WORK_SECONDS
+            self._order_start(key, repaired, report)
+        # If the engine restarted, the verified chunks may have been lost with the
+        # earlier incarnation.
+        return BUSY_POLL_SECONDS
 
     def _start_wait(self, key: VersionKey, report: EngineReport) -> float:
-        """Return the seconds after which to order the start; 0 for now."""
-        stray = self.stray_until - boottime()
-        return max(stray, self.turn_wait(key, report))
+        """Return the seconds until the start may be ordered; 0 for at once."""
+        unanswered_wait = self.unanswered_call_until - boottime()
+        return max(unanswered_wait, self.turn_wait(key, report))
 
     def turn_wait(self, key: VersionKey, report: EngineReport) -> float:
-        """Return the seconds until it is this engine's turn to take a whole version."""
-        held = report.layers
-        if held is None:
+        """Return the seconds until it is this engine's turn to switch to a version."""
+        layers = report.layers
+        if layers is None:
             return 0.0
         history = self.view.history(key[0])
-        bound, newer_bound = map(history.begin_by, (held.version, key[1]))
+        bound, newer_bound = map(history.begin_by, (layers.version, key[1]))
         now = boottime()
-        whole_at = self.whole_at.setdefault(key, now)
-        place = self.engines.place(key)
-        return start_wait(bound, newer_bound, now, whole_at, place)
+        complete_since = self.complete_since.setdefault(key, now)
+        turn = self.engines.turn_fraction(key)
+        return start_wait(bound, newer_bound, now, complete_since, turn)
 
-    def _start(self, key: VersionKey, repaired: int, report: EngineReport) -> None:
+    def _order_start(
+        self, key: VersionKey, repaired: int, report: EngineReport
+    ) -> None:
+        """Order the engine to start a version and record the outcome."""
         outcome = self.engine.start(*key)
         self.context.events.emit(
             EventKind.VERSION_STARTED,
@@ -388,12 +424,12 @@
         )
         if outcome in (OrderOutcome.BEGUN, OrderOutcome.HELD):
             self.ordered = StartOrder(key[1], report.started)
-            self._set(Phase.STARTING, "", key[1])
+            self._set_phase(Phase.STARTING, "", key[1])
         else:
-            self._set(Phase.STARTING, f"order {outcome.value}", key[1])
+            self._set_phase(Phase.STARTING, f"order {outcome.value}", key[1])
 
     def is_needed(self, key: VersionKey) -> bool:
-        """Tell whether a version is still worth its transfer, nearly here or not."""
+        """Check whether a version is still needed, however complete it is."""
         return not self.catalogue.is_outdated(
             key, self.view.history(key[0]).count_newer(key[1])
         )
--- a/src/ridgecourse/loader/service_engines.py
+++ b/src/ridgecourse/loader/service_engines.py
@@ -1,4 +1,4 @@
-"""The engines of a loader's service, as the list of targets has them."""
+"""Engines of a loader's service according to the list of targets."""
 
 from collections.abc import Iterator
 
@@ -8,13 +8,13 @@
 from ridgecourse.core.targets import ListedTarget
 from ridgecourse.exchange.catalogue import VersionKey
 
-EARLY_SHARE = 0.5
-"""Share of a domain's engines that serve the first of two versions, where both are
-wanted: as many as wait for the second."""
+EARLY_START_SHARE = 0.5
+"""Share of a domain's engines that start the first of two wanted versions; the other
+half waits for the second."""
 
 
 class ServiceEngines:
-    """Finds the other engines of a service, and its own engine's turn among them."""
+    """Lists the engines of a service and computes the local engine's turn."""
 
     def __init__(self, site: Site, view: ClusterView) -> None:
         assert site.target is not None
@@ -23,6 +23,7 @@
         self.view = view
 
     def __iter__(self) -> Iterator[ListedTarget]:
+        """Yield the listed engines of the service."""
         for target in self.view.targets.targets.values():
             if target.service == self.service:
                 yield target
@@ -31,19 +32,21 @@
         """Yield the engines on other instances."""
         return (target for target in self if target.host != self.site.host)
 
-    def place(self, key: VersionKey) -> float:
-        """Return the own engine's place in which its domain's engines take a version.
+    def turn_fraction(self, key: VersionKey) -> float:
+        """Return the local engine's turn in the staggered switch of its domain.
 
-        An engine that changes its weights takes no requests until it has ended those
-        in progress.
+        The switch is staggered because an engine that switches weights accepts no
+        requests until its requests in progress have ended.
 
         Returns:
-            From 0 for the first of them to 1 for the last.
+            A number from 0 for the first engine to 1 for the last one.
         """
-        near = {target.host for target in self if target.domain == self.site.domain}
-        ranked = rendezvous_rank(f"{key}/start", near | {self.site.host})
+        domain_hosts = {
+            target.host for target in self if target.domain == self.site.domain
+        }
+        ranked = rendezvous_rank(f"{key}/start", domain_hosts | {self.site.host})
         return ranked.index(self.site.host) / max(1, len(ranked) - 1)
 
     def starts_early(self, key: VersionKey) -> bool:
-        """Tell whether this engine is in the half that takes new weights first."""
-        return self.place(key) <= EARLY_SHARE
+        """Check whether the local engine is in the half that switches weights first."""
+        return self.turn_fraction(key) <= EARLY_START_SHARE
--- a/src/ridgecourse/loader/staging.py
+++ b/src/ridgecourse/loader/staging.py
@@ -1,4 +1,4 @@
-"""The engine's staging area: filled, checked, repaired."""
+"""Access to the engine's staging area: fills, verifies and repairs it."""
 
 from collections.abc import Iterator
 
@@ -15,12 +15,12 @@
 
 
 class StagedVersion(Struct, frozen=True):
-    """A version that was staged whole.
+    """A version that was staged completely.
 
     Attributes:
-        root: The version.
-        started: When the engine's life started in which that was; None if it does not
-            tell.
+        root: Root digest of the version.
+        started: Start time of the engine incarnation in which the version was staged;
+            None if the engine does not report it.
     """
 
     root: RootDigest
@@ -28,10 +28,10 @@
 
 
 class Staging:
-    """One model's chunks in the engine's staging area.
+    """Chunks of one model in the engine's staging area.
 
-    The engine does not check what lies there, and it may turn bad, so that all
-    of it is read back right before it is taken.
+    The engine does not verify staged chunks, and they may become corrupt. So all
+    chunks are read back and verified immediately before the engine is started.
     """
 
     def __init__(
@@ -41,62 +41,63 @@
         self.engine = engine
         self.model = model
 
-    def take_in(self, manifest: Manifest) -> int:
-        """Take the chunks of a version that lie staged into the store.
+    def load_staged(self, manifest: Manifest) -> int:
+        """Load the valid staged chunks of a version into the chunk store.
 
         Returns:
-            How many did.
+            The number of chunks loaded.
 
         Raises:
             EngineUnavailable: The engine gave no usable answer.
         """
-        taken = 0
+        loaded = 0
         for index, place in enumerate(manifest.chunk_places()):
             if self.context.store.get(place.digest) is not None:
                 continue
             data = self.engine.staged(self.model, index)
             if data is not None and self.context.digest(data) == place.digest:
                 self.context.store.put(place.digest, data)
-                taken += 1
-        return taken
+                loaded += 1
+        return loaded
 
     def fill(self, manifest: Manifest) -> int:
-        """Stage every chunk that does not lie there as it should.
+        """Stage every chunk that is missing from the staging area or corrupt in it.
 
         Returns:
-            How many were staged.
+            The number of chunks staged.
 
         Raises:
-            EngineUnavailable: The engine gave no usable answer, or the store
+            EngineUnavailable: The engine gave no usable answer, or the chunk store
                 lacks a chunk.
         """
         staged = 0
-        for index in self._wrong(manifest):
+        for index in self._invalid_indexes(manifest):
             self.put(manifest, index)
             staged += 1
         return staged
 
-    def _wrong(self, manifest: Manifest) -> Iterator[int]:
+    def _invalid_indexes(self, manifest: Manifest) -> Iterator[int]:
+        """Yield the indexes of chunks that are missing or corrupt."""
         for index, place in enumerate(manifest.chunk_places()):
             data = self.engine.staged(self.model, index)
             if data is None or self.context.digest(data) != place.digest:
                 yield index
 
-    def holds(self, digest: ChunkDigest) -> bool:
-        """Tell whether a chunk can be staged."""
+    def has_chunk(self, digest: ChunkDigest) -> bool:
+        """Check whether the chunk store has a chunk, so that it can be staged."""
         return self.context.store.get(digest) is not None
 
     def put(self, manifest: Manifest, index: int) -> None:
-        """Stage a chunk, over what lies there.
+        """Stage a chunk, replacing the data at its index.
 
         Raises:
-            EngineUnavailable: The engine gave no usable answer, or the store
+            EngineUnavailable: The engine gave no usable answer, or the chunk store
                 lacks the chunk.
         """
         digest = manifest.files[0].chunks[index]
         data = self.context.store.get(digest)
         if data is None:
-            raise EngineUnavailable(f"chunk {index} is not held")
+            raise EngineUnavailable(f"chunk {index} is not in the chunk store")
         try:
             self.engine.stage(self.model, index, data)
         except EngineUnavailable as error:
--- a/src/ridgecourse/loader/status.py
+++ b/src/ridgecourse/loader/status.py
@@ -1,4 +1,8 @@
-"""Tells gateways the load of the engine."""
+"""Feed of the engine's load to gateways.
+
+Polls the engine while gateways watch the loader, reports load changes to them by
+datagram, and announces to each gateway which other gateways watch the loader.
+"""
 
 from collections.abc import Iterator
 
@@ -26,55 +30,59 @@
 from ridgecourse.net.websocket import ChannelClosed, ControlChannel
 from ridgecourse.wire.control import EngineReport, GatewaysChanged, Named, Watch
 
-CROWDED_SECONDS = NEAR_INTERVAL_SECONDS
-"""Between two looks at an engine whose batch is half full. By ``python -m bench
-placement``, 0.05 s in place of 0.1 s raises the credit from 0.65 to 0.71 at 65
-requests a second on 6 engines, and changes little where engines are idle."""
-BUSY_SECONDS = 0.1
-"""The same at one with fewer requests."""
+CROWDED_POLL_SECONDS = NEAR_INTERVAL_SECONDS
+"""Poll interval of an engine whose batch is at least half full, in seconds.
+In ``python -m bench placement``, 0.05 s instead of 0.1 s raises the credit from 0.65 to
+0.71 at 65 requests a second on 6 engines, and changes little if engines are idle."""
+BUSY_POLL_SECONDS = 0.1
+"""Poll interval of an engine with fewer requests, in seconds."""
 CROWDED_SHARE = 0.5
-IDLE_SECONDS = 0.4
+"""Share of the batch slots in use from which the batch counts as half full."""
+IDLE_POLL_SECONDS = 0.4
+"""Poll interval of an idle or unavailable engine, in seconds."""
 UNCHANGED_SECONDS = 0.9
-"""Between two reports of a load that does not change: gateways count one as out of date
-after 1.5 s."""
-GATHER_SECONDS = 0.25
-"""Shortest time between two changes that one gateway is told, apart from the list that
-it gets first: a start of all brings 39 gateways within a second. A single change is
-told at once, for until then two gateways may each take themselves for the hub."""
-EARLY_SHARE = 0.9
-"""Share of a watcher's interval after which a report is due: looks are as far apart
-as the interval and do not come to the millisecond."""
+"""Interval of reports of an unchanged load, in seconds: gateways treat a report as out
+of date after 1.5 s."""
+CHANGE_INTERVAL_SECONDS = 0.25
+"""Minimum interval, in seconds, between changes of the gateway list that are announced
+to one gateway after the initial list: when all processes start, 39 gateways connect
+within 1 s. A single change is announced at once, because until then two gateways may
+each act as the hub."""
+DUE_SHARE = 0.9
+"""Share of a watcher's interval after which a report is due: polls have the same
+interval and are not exact to the millisecond."""
 
 
 class Watcher(Struct):
-    """A gateway that is told the load.
+    """A gateway that receives load reports.
 
     Attributes:
-        address: Where it takes reports.
-        near: Whether it stands in the engine's region.
-        told_at: When it was told last.
-        change: Which change of the load it was told last.
+        address: Address that reports are sent to.
+        near: Whether the gateway is in the engine's region.
+        announced_at: When the last report was sent.
+        change: Number of the load change that was reported last.
     """
 
     address: Address
     near: bool
-    told_at: float = 0.0
+    announced_at: float = 0.0
     change: int = -1
 
 
 class StatusFeed:
-    """Looks at the engine and tells those who watch.
+    """Polls the engine and reports its load to watching gateways.
 
     Attributes:
-        status: The newest load; None while the engine does not answer.
-        gateways: Those that bring weights in.
-        watchers: Those that are told the load, one for each connection.
-        unread: Of the engine's latest life.
-        started: When that started; None if it does not tell.
-        number: Of the newest report.
-        change: Counts the looks that found another load than gateways reckon with.
-        told: The load at the last of them.
-        told_at: When that was.
+        status: Newest load; None while the engine does not answer.
+        changed: Notified when a gateway connects or disconnects.
+        gateways: Gateways that fetch weights into the domain.
+        watchers: Receivers of load reports, one for each connection.
+        unread: Estimate of unread prompts in the engine's latest incarnation.
+        started: Start time of that incarnation; None if the engine does not report it.
+        number: Sequence number of the newest report.
+        change: Number of polls whose load differed from the gateways' estimate.
+        announced: Load at the last of these polls.
+        announced_at: When the last of these polls took place.
     """
 
     def __init__(
@@ -95,47 +103,51 @@
         self.started: EngineStart | None = None
         self.number = 0
         self.change = 0
-        self.told: EngineStatus | None = None
-        self.told_at = Seconds(0.0)
+        self.announced: EngineStatus | None = None
+        self.announced_at = Seconds(0.0)
         self.thread: eventlet.greenthread.GreenThread | None = None
 
     def start(self) -> None:
-        """Begin to look."""
-        self.thread = spawn_loop(self._look)
+        """Start to poll the engine."""
+        self.thread = spawn_loop(self._poll_loop)
 
     def close(self) -> None:
-        """Stop."""
+        """Stop polling the engine."""
         if self.thread is not None:
             self.thread.kill()
 
-    def _look(self) -> None:
+    def _poll_loop(self) -> None:
         while True:
-            eventlet.sleep(self._look_once())
+            eventlet.sleep(self._poll())
 
-    def _look_once(self) -> float:
-        """Look if anybody is told; return the seconds until the next look."""
+    def _poll(self) -> float:
+        """Poll the engine if a gateway watches; return the seconds to the next poll."""
         if not self.watchers:
-            return IDLE_SECONDS
+            return IDLE_POLL_SECONDS
         try:
             status = self.describe(self.engine.report())
         except EngineUnavailable:
-            # The rollout logs it; those who watch hear nothing new.
+            # The rollout logs the error; watchers receive no new load.
             self.status = None
-            return IDLE_SECONDS
+            return IDLE_POLL_SECONDS
         self.status = status
         self._report(status, boottime())
-        if status.active + status.queued >= CROWDED_SHARE * self._slots():
-            return CROWDED_SECONDS
-        return BUSY_SECONDS if status.active or status.busy else IDLE_SECONDS
+        if status.active + status.queued >= CROWDED_SHARE * self._engine_slots():
+            return CROWDED_POLL_SECONDS
+        return BUSY_POLL_SECONDS if status.active or status.busy else IDLE_POLL_SECONDS
 
     def describe(self, report: LocalReport) -> EngineStatus:
-        """Return what gateways are told of the engine."""
-        held = report.layers
-        found = self.rollout.find_model()
-        layers = found[0].layers if found else 0
-        whole = held is not None and report.serves(held.version, layers)
+        """Return the load of the engine as reported to gateways."""
+        held_layers = report.layers
+        configured = self.rollout.find_model()
+        layers = configured[0].layers if configured else 0
+        is_complete = held_layers is not None and report.serves(
+            held_layers.version, layers
+        )
         return EngineStatus(
-            version=held.version if held and whole else WeightsVersion(0),
+            version=held_layers.version
+            if held_layers and is_complete
+            else WeightsVersion(0),
             busy=report.busy,
             queued=report.queued,
             active=report.active,
@@ -143,59 +155,71 @@
             cache_total=report.cache_total,
             pace=report.pace,
             link=self._link_share(),
-            unread=self._unread(report),
+            unread=self._estimate_unread(report),
             started=report.started,
         )
 
-    def _slots(self) -> int:
-        """Return how many requests the engine runs at once."""
-        found = self.rollout.find_model()
-        return found[0].slots if found else 1
+    def _engine_slots(self) -> int:
+        """Return the number of requests that the engine runs concurrently."""
+        configured = self.rollout.find_model()
+        return configured[0].slots if configured else 1
 
-    def _unread(self, report: LocalReport) -> float:
-        found = self.rollout.find_model()
-        if found is None:
+    def _estimate_unread(self, report: LocalReport) -> float:
+        """Return the estimate of unread prompts; 0 if the model is unknown."""
+        configured = self.rollout.find_model()
+        if configured is None:
             return 0.0
         if report.started != self.started:
-            # The prompts went with the engine's earlier life.
+            # The prompts were lost with the earlier incarnation of the engine.
             self.started, self.unread = report.started, UnreadEstimate()
         requests = report.queued + report.active
-        return self.unread.look(found[0], requests, boottime())
+        return self.unread.look(configured[0], requests, boottime())
 
     def _link_share(self) -> float:
-        """Return the share of its usual rate that the instance's link brings."""
+        """Return the instance's link rate as a share of its usual rate.
+
+        The share is 1 if no transfer is fetching from peers.
+        """
         rate, transfer = self.rollout.context.rate, self.rollout.transfer
         if rate is None or transfer is None or not transfer.peer_fetches():
             return 1.0
         return round(rate.current / rate.limit, 1)
 
     def _report(self, status: EngineStatus, now: Seconds) -> None:
-        """Tell all whose interval is over, and who have been told nothing for long."""
-        if tells_more(self.told, self.told_at, status, now):
+        """Send the load to every watcher whose report is due."""
+        if tells_more(self.announced, self.announced_at, status, now):
             self.change += 1
-            self.told, self.told_at = status, now
-        due = list(self._due(now))
+            self.announced, self.announced_at = status, now
+        due = list(self._due_addresses(now))
         if not due:
             return
         self.number += 1
         self.reports.send(EngineReport(status, self.number), iter(due))
 
-    def _due(self, now: Seconds) -> Iterator[Address]:
-        far = sum(not watcher.near for watcher in self.watchers)
-        shortest = {near: report_interval(near, far) for near in (True, False)}
+    def _due_addresses(self, now: Seconds) -> Iterator[Address]:
+        """Yield the addresses of watchers whose report is due; record the reports."""
+        far_watchers = sum(not watcher.near for watcher in self.watchers)
+        intervals = {
+            near: report_interval(near, far_watchers) for near in (True, False)
+        }
         for watcher in self.watchers:
-            # What does not change is told all the same, or it would be out of date.
-            known = watcher.change == self.change
-            interval = UNCHANGED_SECONDS if known else shortest[watcher.near]
-            if now - watcher.told_at >= interval * EARLY_SHARE:
-                watcher.told_at, watcher.change = now, self.change
+            # An unchanged load is reported as well, so that it does not become out of
+            # date.
+            is_current = watcher.change == self.change
+            interval = UNCHANGED_SECONDS if is_current else intervals[watcher.near]
+            if now - watcher.announced_at >= interval * DUE_SHARE:
+                watcher.announced_at, watcher.change = now, self.change
                 yield watcher.address
 
     def tell(self, channel: ControlChannel, watch: Watch) -> None:
-        """Tell a gateway the load until it goes away.
+        """Serve a watching gateway until it disconnects.
+
+        Args:
+            channel: Control connection of the gateway.
+            watch: First message of the gateway.
 
         Raises:
-            ChannelClosed: It went away, or its address is none.
+            ChannelClosed: The gateway disconnected, or its report address is invalid.
         """
         try:
             address = parse_address(watch.reports_to)
@@ -203,50 +227,54 @@
             raise ChannelClosed(str(error)) from error
         watcher = Watcher(address, watch.near)
         self.watchers.append(watcher)
-        self._count(watch.gateway, +1)
+        self._record_connection(watch.gateway, +1)
         channel.send(Named(list(self.rollout.view.version_ages())))
         try:
             if watch.hears_gateways:
-                self._tell_gateways(channel, heartbeat_interval(watch.near))
+                self._announce_gateways(channel, heartbeat_interval(watch.near))
             while True:
                 self._send_heartbeat(channel)
                 eventlet.sleep(heartbeat_interval(watch.near))
         finally:
             self.watchers.remove(watcher)
-            self._count(watch.gateway, -1)
+            self._record_connection(watch.gateway, -1)
 
-    def _tell_gateways(self, channel: ControlChannel, interval: float) -> None:
-        """Tell a gateway of the others, and go on with heartbeats meanwhile.
+    def _announce_gateways(self, channel: ControlChannel, interval: float) -> None:
+        """Announce the connected gateways to a gateway, and send heartbeats.
 
-        Each change is told once, not the whole list: with the list, a start of 39
-        gateways put 150 MB on the links between regions, and requests waited there.
+        Changes are announced instead of the whole list: with the whole list, a start of
+        39 gateways sent 150 MB over the links between regions, and delayed requests
+        there.
         """
-        told = frozenset(self.gateways.connected)
-        channel.send(list_changes(frozenset(), told))
-        told_at = beat_at = 0.0
+        announced = frozenset(self.gateways.connected)
+        channel.send(list_changes(frozenset(), announced))
+        announced_at = heartbeat_at = 0.0
         while True:
             connected = frozenset(self.gateways.connected)
-            if connected != told:
-                channel.send(list_changes(told, connected))
-                told, told_at = connected, boottime()
-            if boottime() >= beat_at:
+            if connected != announced:
+                channel.send(list_changes(announced, connected))
+                announced, announced_at = connected, boottime()
+            if boottime() >= heartbeat_at:
                 self._send_heartbeat(channel)
-                beat_at = boottime() + interval
-            if self.changed.wait(max(0.0, beat_at - boottime())):
-                eventlet.sleep(max(0.0, told_at + GATHER_SECONDS - boottime()))
+                heartbeat_at = boottime() + interval
+            if self.changed.wait(max(0.0, heartbeat_at - boottime())):
+                eventlet.sleep(
+                    max(0.0, announced_at + CHANGE_INTERVAL_SECONDS - boottime())
+                )
 
     def _send_heartbeat(self, channel: ControlChannel) -> None:
+        """Send the newest load, if there is one."""
         if self.status is not None:
             channel.send(EngineReport(self.status))
 
-    def _count(self, gateway: Peer | None, change: int) -> None:
-        """Note that a gateway connected or went away."""
-        if self.gateways.count(gateway, change):
+    def _record_connection(self, gateway: Peer | None, change: int) -> None:
+        """Record an opened or closed connection; notify if the gateways changed."""
+        if self.gateways.record_connection(gateway, change):
             self.changed.notify()
 
 
 def list_changes(before: frozenset[Peer], after: frozenset[Peer]) -> GatewaysChanged:
-    """Return how the gateways that watch a loader changed."""
+    """Return the difference between two sets of gateways that watch a loader."""
     names = {peer.name for peer in after}
     gone = sorted({peer.name for peer in before} - names)
     came = sorted(after - before, key=lambda peer: peer.name)
--- a/src/ridgecourse/loader/transfer_watch.py
+++ b/src/ridgecourse/loader/transfer_watch.py
@@ -1,4 +1,8 @@
-"""Drops a transfer of weights where something better can be done."""
+"""Choice of the version to fetch, and cancellation of transfers.
+
+A transfer is cancelled when its hubs change, when the engine becomes available during a
+prefetch, or when another version takes precedence.
+"""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -32,25 +36,25 @@
 from ridgecourse.net.events import EventKind
 from ridgecourse.net.threads import spawn_loop
 
-LOOK_SECONDS = 0.5
-"""Longest time between two looks, if nothing changes."""
+POLL_SECONDS = 0.5
+"""Longest interval between checks of the transfer, in seconds."""
 
 
 class TransferOwner(ABC):
-    """Who drives an engine, as the watch over its transfers needs it.
+    """Interface of the rollout that ``TransferWatch`` uses.
 
     Attributes:
-        site: The settings in force.
-        view: What is known of configuration, versions and targets.
-        context: What its transfers share.
-        engine: The engine.
-        gateways: Those that bring weights in.
-        catalogue: Manifests of the versions that it takes part in.
-        transfer: The one in progress; None for none.
-        version: Which version is being worked on.
-        hubs: Where the transfer in progress takes chunks from.
-        prefetching: Whether it goes on without the engine.
-        ordered: The last order that the engine took; None for none.
+        site: Current settings.
+        view: Known configuration, versions and targets.
+        context: Exchange context that the transfers share.
+        engine: Control of the engine.
+        gateways: Gateways that fetch weights into the domain.
+        catalogue: Manifests of the versions that the loader exchanges.
+        transfer: Transfer in progress; None for none.
+        version: Version that the rollout is working on.
+        hubs: Sources of the transfer in progress.
+        is_prefetching: Whether the transfer runs while the engine is unavailable.
+        ordered: Last order that the engine accepted; None for none.
     """
 
     site: Site
@@ -62,83 +66,85 @@
     transfer: Transfer | None
     version: WeightsVersion
     hubs: Sequence[Peer]
-    prefetching: bool
+    is_prefetching: bool
     ordered: StartOrder | None
 
     @abstractmethod
     def find_model(self) -> tuple[EngineModel, OriginPlace] | None:
-        """Return the engine's model and its origin, None before they are known."""
+        """Return the engine's model and its origin; None if the config lacks them."""
 
     @abstractmethod
     def transfer_seconds(self, holding: Holding) -> float:
-        """Return the seconds that a transfer still takes at the link's speed."""
+        """Return the remaining seconds of a transfer at the full speed of the link."""
 
     @abstractmethod
     def starts_early(self, key: VersionKey) -> bool:
-        """Tell whether this engine is in the half that takes new weights first."""
+        """Check whether the local engine is in the half that switches weights first."""
 
     @abstractmethod
     def turn_wait(self, key: VersionKey, report: EngineReport) -> float:
-        """Return the seconds until it is this engine's turn to change its weights."""
+        """Return the seconds until it is this engine's turn to switch to a version."""
 
     @abstractmethod
     def is_needed(self, key: VersionKey) -> bool:
-        """Tell whether a version is still worth its transfer, nearly here or not."""
+        """Check whether a version is still needed, however complete it is."""
 
 
 class TransferWatch:
-    """Watches the transfer of one loader, and says which version goes first.
+    """Monitors the transfers of one loader and chooses the version to fetch.
 
     Attributes:
-        given_up: Versions that gave way to a newer one, or cannot be had.
+        rollout: The rollout whose transfers are monitored.
+        abandoned: Versions that were superseded by a newer version or cannot be
+            fetched.
     """
 
     def __init__(self, rollout: TransferOwner) -> None:
         self.rollout = rollout
-        self.given_up: set[VersionKey] = set()
+        self.abandoned: set[VersionKey] = set()
         self.thread: eventlet.greenthread.GreenThread | None = None
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start to monitor transfers."""
         self.thread = spawn_loop(self._run)
 
     def close(self) -> None:
-        """Stop."""
+        """Stop monitoring transfers."""
         if self.thread is not None:
             self.thread.kill()
 
     def _run(self) -> None:
-        """Drop a transfer where another version had better go first."""
+        """Cancel the transfer in progress when it should not continue."""
         while True:
-            self.rollout.view.changed.wait(LOOK_SECONDS)
-            transfer, found = self.rollout.transfer, self.rollout.find_model()
-            if transfer is None or found is None:
+            self.rollout.view.changed.wait(POLL_SECONDS)
+            transfer, configured = self.rollout.transfer, self.rollout.find_model()
+            if transfer is None or configured is None:
                 continue
-            model = found[0]
+            model = configured[0]
             if transfer.stalled:
-                self._ask_again(self._key(model))
-            if self._is_outlived(transfer, model):
+                self._request_from_hub(self._current_key(model))
+            if self._should_cancel(transfer, model):
                 transfer.cancel()
 
-    def _is_outlived(self, transfer: Transfer, model: EngineModel) -> bool:
-        """Tell whether something else than a transfer is to be done now."""
+    def _should_cancel(self, transfer: Transfer, model: EngineModel) -> bool:
+        """Check whether a transfer should be cancelled."""
         wanted = self.rollout.view.wanted_version(model.model)
         if self.rollout.hubs != choose_hubs(
-            str(self._key(model)), self.rollout.gateways
+            str(self._current_key(model)), self.rollout.gateways
         ):
-            # A hub came or went: begin again with those that are there now.
+            # A hub appeared or disappeared: restart the transfer with the current hubs.
             return True
-        if self.rollout.prefetching and self._find_report() is not None:
-            # What lies staged at an engine that is back need not be fetched.
+        if self.rollout.is_prefetching and self._poll_engine() is not None:
+            # Chunks staged at an engine that is available again need not be fetched.
             return True
         if wanted > self.rollout.version:
-            return self._gives_way(transfer, model, wanted)
-        return self._turns_back(model, wanted)
+            return self._is_superseded(transfer, model, wanted)
+        return self._yields_to_older(model, wanted)
 
-    def _gives_way(
+    def _is_superseded(
         self, transfer: Transfer, model: EngineModel, wanted: WeightsVersion
     ) -> bool:
-        """Tell whether a transfer is dropped for a newer version."""
+        """Check whether a transfer is cancelled in favour of a newer version."""
         newest = model.model, wanted
         share = self._share_at_hub(newest)
         if share is None or self._should_finish(transfer, model, newest, share):
@@ -149,113 +155,128 @@
             newer=str(wanted),
             missing=len(transfer.planner.missing),
         )
-        self.given_up.add(self._key(model))
+        self.abandoned.add(self._current_key(model))
         return True
 
-    def _turns_back(self, model: EngineModel, wanted: WeightsVersion) -> bool:
-        """Tell whether an older version goes first though the newest was begun.
+    def _yields_to_older(self, model: EngineModel, wanted: WeightsVersion) -> bool:
+        """Check whether a transfer of the newest version yields to an older version.
 
-        The newest one may not be had for seconds, while an older one lies whole at the
-        hub and may be served until then; or lies whole here, and its turn has come.
+        The newest version may be unavailable for seconds, while an older version is
+        complete at the hub and may be served until then, or is complete in this loader
+        and the engine's turn to switch to it has come.
         """
-        report = self._find_report()
+        report = self._poll_engine()
         if report is None or self.rollout.version != wanted:
             return False
-        first = self.choose(model, wanted, report)
-        if first == (model.model, wanted):
+        preferred = self.choose(model, wanted, report)
+        if preferred == (model.model, wanted):
             return False
         self.rollout.context.events.emit(
-            EventKind.ROLLOUT_DROPPED, version=str(wanted), older=str(first[1])
+            EventKind.ROLLOUT_DROPPED, version=str(wanted), older=str(preferred[1])
         )
         return True
 
     def choose(
         self, model: EngineModel, wanted: WeightsVersion, report: EngineReport
     ) -> VersionKey:
-        """Return the version to bring in: what was begun may still come first.
+        """Return the version to fetch: a partially fetched version may take precedence.
+
+        A transfer also ends when a hub appears or disappears. If the loader then
+        changed to a newer version that no hub has, it would wait while it holds most of
+        the older version.
 
-        A transfer also ends because a hub came or went. Turned to a newer version that
-        no hub has, the loader would wait with most of the older one here.
+        Args:
+            model: The engine's model.
+            wanted: Newest version.
+            report: Current report of the engine.
         """
         newest = model.model, wanted
         served = report.layers.version if report.layers else WeightsVersion(0)
         ordered = self.rollout.ordered
         if report.busy and ordered and ordered.started == report.started:
             served = max(served, ordered.version)
-        begun = sorted(
+        started_keys = sorted(
             key
             for key in self.rollout.catalogue.holdings
             if key[0] == model.model
             and served < key[1] < wanted
-            and key not in self.given_up
+            and key not in self.abandoned
         )
-        for key in reversed(begun):
-            if self._comes_first(key, newest, model, report):
+        for key in reversed(started_keys):
+            if self._takes_precedence(key, newest, model, report):
                 return key
         return newest
 
-    def _comes_first(
+    def _takes_precedence(
         self,
         key: VersionKey,
         newest: VersionKey,
         model: EngineModel,
         report: EngineReport,
     ) -> bool:
+        """Check whether a version already started takes precedence over the newest."""
         holding = self.rollout.catalogue.holdings[key]
         if not holding.held or not self.rollout.is_needed(key):
             return False
-        current, newer, now, early = self._weigh(key, holding, model, newest[1])
+        current, newer, now, early = self._make_plans(key, holding, model, newest[1])
         if not comes_first(current, newer, now, early, newer_here=False):
             return False
         share = self._share_at_hub(newest)
         wait = self.rollout.turn_wait(key, report) if holding.complete else 0.0
         if leaves_time(wait) and share is not None:
-            # It would lie there until its turn, and nothing would be drawn meanwhile.
+            # The version would stay unused until the engine's turn, and nothing would
+            # be fetched during that time.
             return False
-        if not holding.complete and not self._has_more(key, holding):
-            # Of the older one nothing more can be had either.
+        if not holding.complete and not self._hub_has_more(key, holding):
+            # No more chunks of the older version are available either.
             return share is None
         return comes_first(
             current, newer, now, early, counts_as_here(current, newer, share)
         )
 
-    def _find_report(self) -> EngineReport | None:
-        """Return what the engine tells; None while it is away."""
+    def _poll_engine(self) -> EngineReport | None:
+        """Return the engine's report; None while the engine is unavailable."""
         try:
             return self.rollout.engine.report()
         except EngineUnavailable:
-            # Still away, as the phase says.
+            # The engine is still unavailable; the rollout's phase shows the error.
             return None
 
-    def _ask_again(self, key: VersionKey) -> None:
-        """Ask the hub once more: one that takes no part waits until asked on."""
+    def _request_from_hub(self, key: VersionKey) -> None:
+        """Request a version from the nearest hub again.
+
+        A hub that does not participate in the version starts to fetch it only when it
+        is asked.
+        """
         hubs = sorted(
             self.rollout.hubs, key=lambda hub: hub.domain != self.rollout.site.domain
         )
         for hub in hubs[:1]:
             eventlet.spawn(self.rollout.catalogue.ask, hub, key)
 
-    def _has_more(self, key: VersionKey, holding: Holding) -> bool:
-        """Tell whether the nearest hub holds more of a version than is here."""
+    def _hub_has_more(self, key: VersionKey, holding: Holding) -> bool:
+        """Check whether the nearest hub holds more of a version than this loader."""
         share = self._share_at_hub(key)
         return share is not None and share > holding.share
 
     def _share_at_hub(self, key: VersionKey) -> float | None:
-        """Return how much of a version the nearest hub holds.
+        """Return the share of a version that the nearest hub holds.
 
-        None if it takes no part in it. Without any hub the loaders draw for
-        themselves, so that all of it is there.
+        Returns:
+            A share from 0 to 1; None if the hub does not participate in the version.
+            Without any hub the share is 1, because loaders then fetch from the origin
+            and from each other.
         """
         hub = self._nearest_hub(key)
         return 1.0 if hub is None else self.rollout.catalogue.ask_share(hub, key)
 
-    def _is_left_at_hub(self, key: VersionKey) -> bool:
-        """Tell whether the nearest hub draws no more of a version."""
+    def _is_skipped_at_hub(self, key: VersionKey) -> bool:
+        """Check whether the nearest hub has stopped fetching a version."""
         hub = self._nearest_hub(key)
-        return hub is not None and self.rollout.catalogue.ask_left(hub, key)
+        return hub is not None and self.rollout.catalogue.ask_skipped(hub, key)
 
     def _nearest_hub(self, key: VersionKey) -> Peer | None:
-        """Return the hub of the own domain, else another one; None without any."""
+        """Return the hub of the local domain, else any hub; None without hubs."""
         hubs = choose_hubs(str(key), self.rollout.gateways)
         domain = self.rollout.site.domain
         return min(hubs, key=lambda hub: hub.domain != domain, default=None)
@@ -267,35 +288,47 @@
         newest: VersionKey,
         share: float,
     ) -> bool:
+        """Check whether a transfer finishes before the newest version is fetched."""
         if transfer.stalled:
-            # The hub may have given it up: then it is never done, however near.
+            # The hub may have abandoned the version; then the transfer never
+            # completes, however little is missing.
             return False
-        if self._is_left_at_hub(self._key(model)):
+        if self._is_skipped_at_hub(self._current_key(model)):
             return False
-        current, newer, now, early = self._weigh(
-            self._key(model), transfer.holding, model, newest[1]
+        current, newer, now, early = self._make_plans(
+            self._current_key(model), transfer.holding, model, newest[1]
         )
         newer_here = counts_as_here(current, newer, share)
         return comes_first(current, newer, now, early, newer_here)
 
-    def _weigh(
+    def _make_plans(
         self,
         key: VersionKey,
         holding: Holding,
         model: EngineModel,
         wanted: WeightsVersion,
     ) -> tuple[TransferPlan, TransferPlan, Seconds, bool]:
-        """Return what is known of a version that was begun and of the newest one."""
+        """Return the transfer plans of a partially fetched and of the newest version.
+
+        Returns:
+            The plan of the partially fetched version, the plan of the newest version,
+            the current time, and whether the local engine starts early.
+        """
         now = boottime()
-        copy = model.chunks * model.chunk_bytes / self.rollout.site.upload_bytes_per_s
+        full_seconds = (
+            model.chunks * model.chunk_bytes / self.rollout.site.upload_bytes_per_s
+        )
         history = self.rollout.view.history(model.model)
         older = WeightsVersion(key[1] - 1)
-        newer = TransferPlan(copy + START_SECONDS, history.begin_by(key[1]) or now)
+        newer = TransferPlan(
+            full_seconds + START_SECONDS, history.begin_by(key[1]) or now
+        )
         current = TransferPlan(
             self.rollout.transfer_seconds(holding) + START_SECONDS,
             history.begin_by(older) or now,
         )
         return current, newer, now, self.rollout.starts_early(key)
 
-    def _key(self, model: EngineModel) -> VersionKey:
+    def _current_key(self, model: EngineModel) -> VersionKey:
+        """Return the key of the version that the rollout is working on."""
         return model.model, self.rollout.version
