--- a/src/ridgecourse/exchange/store.py
+++ b/src/ridgecourse/exchange/store.py
@@ -59,7 +59,7 @@
             if total <= self.budget:
                 kept.update(lengths)
             elif manifest is wanted:
-                message = f"needs {total} bytes, staging_bytes is {self.budget}"
+                message = f"version needs {total} bytes, staging_bytes is {self.budget}"
                 raise OutOfBudget(message)
         self.retain(kept)
 
--- a/src/ridgecourse/exchange/transfer.py
+++ b/src/ridgecourse/exchange/transfer.py
@@ -262,7 +262,9 @@
                 for holds in self._receive_holdings(neighbour):
                     self._apply_holds(neighbour, holds)
             except ChannelClosed as error:
-                logger.debug("cannot follow %s: %s", neighbour, error)
+                logger.debug(
+                    "cannot follow the holdings of neighbour %s: %s", neighbour, error
+                )
             self.planner.peer_lost(neighbour)
             eventlet.sleep(REFOLLOW_SECONDS)
 
--- a/src/ridgecourse/loader/gateways.py
+++ b/src/ridgecourse/loader/gateways.py
@@ -77,7 +77,7 @@
             change: 1 for an opened connection, -1 for a closed one.
 
         Returns:
-            Whether a gateway connected first or disconnected last.
+            Whether a gateway opened its first connection or closed its last one.
         """
         if gateway is None:
             return False
--- a/src/ridgecourse/loader/rollout.py
+++ b/src/ridgecourse/loader/rollout.py
@@ -159,7 +159,9 @@
         """Carry out the next step; return the longest wait until the following step."""
         configured = self.find_model()
         if configured is None:
-            self._set_phase(Phase.WAITING, "no configuration")
+            self._set_phase(
+                Phase.WAITING, "no configuration of the engine's model and origin"
+            )
             return IDLE_POLL_SECONDS
         model, origin_place = configured
         wanted = self.view.wanted_version(model.model)
@@ -318,7 +320,9 @@
             key, origin_place.address, manifest_peers, MANIFEST_PEERS_SECONDS
         )
         if holding is None:
-            self._set_phase(Phase.MANIFEST, "no manifest", key[1])
+            self._set_phase(
+                Phase.MANIFEST, "no manifest from the hubs or the origin", key[1]
+            )
             return None
         if staging is not None and not holding.complete:
             staging.load_staged(holding.manifest)
@@ -426,7 +430,7 @@
             self.ordered = StartOrder(key[1], report.started)
             self._set_phase(Phase.STARTING, "", key[1])
         else:
-            self._set_phase(Phase.STARTING, f"order {outcome.value}", key[1])
+            self._set_phase(Phase.STARTING, f"start order {outcome.value}", key[1])
 
     def is_needed(self, key: VersionKey) -> bool:
         """Check whether a version is still needed, however complete it is."""
--- a/src/ridgecourse/loader/status.py
+++ b/src/ridgecourse/loader/status.py
@@ -37,7 +37,7 @@
 BUSY_POLL_SECONDS = 0.1
 """Poll interval of an engine with fewer requests, in seconds."""
 CROWDED_SHARE = 0.5
-"""Share of the batch slots in use from which the batch counts as half full."""
+"""Share of batch slots in use from which the engine is polled more often."""
 IDLE_POLL_SECONDS = 0.4
 """Poll interval of an idle or unavailable engine, in seconds."""
 UNCHANGED_SECONDS = 0.9
@@ -276,6 +276,6 @@
 def list_changes(before: frozenset[Peer], after: frozenset[Peer]) -> GatewaysChanged:
     """Return the difference between two sets of gateways that watch a loader."""
     names = {peer.name for peer in after}
-    gone = sorted({peer.name for peer in before} - names)
-    came = sorted(after - before, key=lambda peer: peer.name)
-    return GatewaysChanged(came, gone)
+    removed = sorted({peer.name for peer in before} - names)
+    added = sorted(after - before, key=lambda peer: peer.name)
+    return GatewaysChanged(added, removed)
--- a/src/ridgecourse/loader/transfer_watch.py
+++ b/src/ridgecourse/loader/transfer_watch.py
@@ -218,8 +218,10 @@
         holding = self.rollout.catalogue.holdings[key]
         if not holding.held or not self.rollout.is_needed(key):
             return False
-        current, newer, now, early = self._make_plans(key, holding, model, newest[1])
-        if not comes_first(current, newer, now, early, newer_here=False):
+        current, newer, now, starts_early = self._make_plans(
+            key, holding, model, newest[1]
+        )
+        if not comes_first(current, newer, now, starts_early, newer_here=False):
             return False
         share = self._share_at_hub(newest)
         wait = self.rollout.turn_wait(key, report) if holding.complete else 0.0
@@ -231,7 +233,7 @@
             # No more chunks of the older version are available either.
             return share is None
         return comes_first(
-            current, newer, now, early, counts_as_here(current, newer, share)
+            current, newer, now, starts_early, counts_as_here(current, newer, share)
         )
 
     def _poll_engine(self) -> EngineReport | None:
@@ -295,11 +297,11 @@
             return False
         if self._is_skipped_at_hub(self._current_key(model)):
             return False
-        current, newer, now, early = self._make_plans(
+        current, newer, now, starts_early = self._make_plans(
             self._current_key(model), transfer.holding, model, newest[1]
         )
         newer_here = counts_as_here(current, newer, share)
-        return comes_first(current, newer, now, early, newer_here)
+        return comes_first(current, newer, now, starts_early, newer_here)
 
     def _make_plans(
         self,
