--- a/src/ridgecourse/net/__init__.py
+++ b/src/ridgecourse/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, HTTP, websockets, events, metrics and settings."""
+"""Sockets, HTTP, websockets, events, metrics, settings and process start-up."""
--- a/src/ridgecourse/net/address.py
+++ b/src/ridgecourse/net/address.py
@@ -1,15 +1,16 @@
-"""Socket addresses, written HOST:PORT with a numeric host."""
+"""Parses socket addresses, written HOST:PORT with a numeric host."""
 
 from functools import lru_cache
 from ipaddress import ip_address
 from typing import NamedTuple
 
-REMEMBERED = 4096
-"""Addresses whose parsed form is kept: several for each process that one speaks to."""
+ADDRESS_CACHE_SIZE = 4096
+"""Number of parsed addresses in the cache. A process uses several addresses for each
+peer."""
 
 
 class Address(NamedTuple):
-    """A numeric host and a port."""
+    """A socket address: a numeric host and a port."""
 
     host: str
     port: int
@@ -18,12 +19,19 @@
         return f"{self.host}:{self.port}"
 
 
-@lru_cache(REMEMBERED)
+@lru_cache(ADDRESS_CACHE_SIZE)
 def parse_address(text: str) -> Address:
-    """Return the address that a text names.
+    """Parse an address.
+
+    Args:
+        text: HOST:PORT; an IPv6 host may be in brackets.
+
+    Returns:
+        The address, its host without brackets.
 
     Raises:
-        ValueError: The text is not HOST:PORT with a numeric host.
+        ValueError: The text is not HOST:PORT with a numeric host, or the port is
+            above 65535.
     """
     host, separator, port = text.rpartition(":")
     if not separator or not port.isdecimal() or int(port) > 65535:
--- a/src/ridgecourse/net/clock.py
+++ b/src/ridgecourse/net/clock.py
@@ -1,4 +1,4 @@
-"""The clock by which ages, bounds and deadlines are reckoned."""
+"""The clock for ages, time limits and deadlines."""
 
 import time
 
@@ -6,10 +6,11 @@
 
 
 def choose_clock() -> int:
-    """Return the clock that counts the time for which the machine is suspended.
+    """Return the id of a clock that also runs while the machine is suspended.
 
-    The monotonic clock stands still meanwhile, so that what was learned before would
-    pass for fresh. It serves where the system has no other.
+    The monotonic clock stops during a suspension, so that data received before the
+    suspension would count as fresh after it. It is the fallback where the system
+    has no boot-time clock.
     """
     clock = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
     try:
@@ -23,5 +24,5 @@
 
 
 def boottime() -> Seconds:
-    """Return the seconds since some fixed moment; never set back."""
+    """Return the seconds since a fixed start; the clock is never set back."""
     return Seconds(time.clock_gettime(CLOCK))
--- a/src/ridgecourse/net/config_store.py
+++ b/src/ridgecourse/net/config_store.py
@@ -1,4 +1,8 @@
-"""A process's copy of the configuration, with the newest records kept for others."""
+"""Holds a process's copy of the configuration and serves it to other processes.
+
+The newest records are kept, so that a receiver that is a little behind gets records
+instead of a snapshot.
+"""
 
 from collections import deque
 from collections.abc import Iterator, Sequence
@@ -19,61 +23,68 @@
 from ridgecourse.wire.codec import decode_message
 from ridgecourse.wire.entry_control import ConfigFull, ConfigRecords
 
-RECORDS_KEPT = 2000
-"""Records kept for receivers a little behind; those further get a snapshot."""
+MAX_RECENT_RECORDS = 2000
+"""Number of newest records kept. A receiver that lacks more records than these gets a
+snapshot."""
 
 
 class Folded(NamedTuple):
-    """A change record and what the fold made of it."""
+    """A change record and the outcome of folding it.
+
+    Attributes:
+        record: The change record.
+        outcome: Whether the change was accepted, and its result.
+    """
 
     record: ChangeRecord
     outcome: ChangeOutcome
 
 
 class ConfigStore:
-    """Folds records and hands them on.
+    """Folds records into the configuration and serves them to other processes.
 
     Attributes:
         state: The configuration.
-        known: Whether the state is known to stand for some real offset, which
-            an empty state of a process just started does not.
-        checkpoint: The newest checkpoint noticed.
-        changed: Notified after every fold.
+        known: Whether the state is known to match an offset of the log. The empty
+            state of a process that has just started does not match one.
+        checkpoint: Notice of the newest checkpoint; None before the first one.
+        recent: The newest records, encoded, up to ``offset``.
+        changed: Notified when the state has changed.
     """
 
     def __init__(self) -> None:
         self.state = ConfigState()
         self.known = False
         self.checkpoint: CheckpointNotice | None = None
-        self.recent: deque[bytes] = deque(maxlen=RECORDS_KEPT)
+        self.recent: deque[bytes] = deque(maxlen=MAX_RECENT_RECORDS)
         self.changed = Broadcast()
 
     @property
     def offset(self) -> Offset:
-        """Return the next offset to fold."""
+        """Return the offset of the next record to fold."""
         return self.state.offset
 
     def fold(self, first: int, records: Sequence[bytes]) -> list[Folded]:
-        """Fold records of the log; those already contained are passed over.
+        """Fold records of the log, skipping records that are already folded.
 
         Args:
             first: Offset of the first record.
-            records: Their bytes.
+            records: The encoded records.
 
         Returns:
-            The change records folded now. Nothing if there is a gap before the
-            first record.
+            The change records that this call folded. Empty if there is a gap
+            between the state and the first record.
         """
         if first > self.offset:
             return []
         fresh = records[self.offset - first :]
-        folded = list(self._fold_each(fresh))
+        folded = list(self._fold_records(fresh))
         self.known = True
         if fresh:
             self.changed.notify()
         return folded
 
-    def _fold_each(self, records: Sequence[bytes]) -> Iterator[Folded]:
+    def _fold_records(self, records: Sequence[bytes]) -> Iterator[Folded]:
         for data in records:
             decoded = decode_message(data, ConfigRecord)
             record = None if isinstance(decoded, Failure) else decoded.unwrap()
@@ -85,18 +96,26 @@
                 yield Folded(record, outcome)
 
     def restore(self, snapshot: ConfigSnapshot) -> bool:
-        """Take over a snapshot if it is ahead; tell whether it was."""
-        taken = self.state.restore(snapshot)
-        if taken:
+        """Replace the state by a snapshot if the snapshot is newer.
+
+        Returns:
+            Whether the snapshot was newer.
+        """
+        restored = self.state.restore(snapshot)
+        if restored:
             self.recent.clear()
-        if taken or snapshot.offset == self.offset:
+        if restored or snapshot.offset == self.offset:
             self.known = True
-        if taken:
+        if restored:
             self.changed.notify()
-        return taken
+        return restored
 
     def take(self, message: ConfigRecords | ConfigFull) -> bool:
-        """Take in what another process sent; tell whether anything was new."""
+        """Apply records or a snapshot from another process.
+
+        Returns:
+            Whether the message contained anything new.
+        """
         before = self.offset
         if isinstance(message, ConfigFull):
             return self.restore(message.snapshot)
@@ -104,7 +123,15 @@
         return self.offset > before
 
     def above(self, offset: int, clock: int = 0) -> ConfigRecords | ConfigFull:
-        """Return what a receiver at an offset lacks, as records if possible."""
+        """Return the updates for a receiver, as records if possible.
+
+        Args:
+            offset: Offset of the next record that the receiver needs.
+            clock: Lamport clock of this process.
+
+        Returns:
+            The records from the offset on, or a snapshot if one of them is gone.
+        """
         oldest = self.offset - len(self.recent)
         if offset < oldest:
             return ConfigFull(self.state.snapshot(), clock)
@@ -112,5 +139,5 @@
         return ConfigRecords(offset, records, clock)
 
     def outcome(self, change_id: ChangeId) -> ChangeOutcome | None:
-        """Return what the fold made of a change, if it has met it."""
+        """Return the outcome of a change; None if the change was not folded."""
         return self.state.outcomes.get(change_id)
--- a/src/ridgecourse/net/datagrams.py
+++ b/src/ridgecourse/net/datagrams.py
@@ -1,7 +1,8 @@
-"""Typed CBOR messages in datagrams, for what is told anew often and may be lost.
+"""Sends and receives typed CBOR messages in datagrams.
 
-A message of some 100 bytes costs a fraction of the processor time that a websocket
-takes for it, and is encoded once for all who get it.
+Datagrams carry state that is sent again often, so that a lost message does no harm. A
+message of some 100 bytes takes a fraction of the processor time of a websocket message
+and is encoded once for all its receivers.
 """
 
 import logging
@@ -21,28 +22,36 @@
 logger = logging.getLogger(__name__)
 
 MAX_BYTES = 1400
-"""Longest datagram: fits into one packet of every usual link."""
-GATHER_SECONDS = 0.02
-"""How long datagrams gather while some come. A wake-up for each took a gateway three
-times as long as all else at 200 reports a second; a report gets 10 ms older in mean, of
-the 50 ms between two of one engine."""
-MOST_AT_ONCE = 256
-"""Datagrams taken in before others have their turn: some 10 ms of work."""
+"""Largest datagram in bytes: fits into one packet of every usual link."""
+BATCH_PAUSE_SECONDS = 0.02
+"""Pause between two batches while datagrams arrive. At 200 reports a second, one
+wake-up per report took 3 times the processor time of all other work of a gateway. The
+pause delays a report by 10 ms on average; an engine reports every 50 ms."""
+MAX_BATCH = 256
+"""Most datagrams received before other green threads run: some 10 ms of work."""
 
 
 class Datagram(NamedTuple):
-    """A message and the host that it came from."""
+    """A received message.
+
+    Attributes:
+        host: The host that sent the message.
+        message: The decoded message.
+    """
 
     host: str
     message: Any
 
 
 class DatagramSocket:
-    """Sends and receives messages.
+    """Sends and receives messages on a UDP socket.
 
     Attributes:
-        address: Where it is bound; the port is the real one after ``start``.
-        refused: Datagrams that were no message of an expected type.
+        address: Address that the socket is bound to; after ``start`` with the port
+            that the system has assigned.
+        refused: Number of received datagrams that were not a message of an expected
+            type.
+        socket: The socket; None before ``start``.
     """
 
     def __init__(self, address: Address) -> None:
@@ -54,7 +63,7 @@
         """Bind the socket.
 
         Raises:
-            OSError: The address is taken.
+            OSError: The address is in use.
         """
         self.socket = green_socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind(self.address)
@@ -66,42 +75,51 @@
             self.socket.close()
 
     def send(self, message: Any, addresses: Iterator[Address]) -> None:
-        """Send a message to all of some addresses; what does not fit is dropped."""
+        """Send a message to each address.
+
+        A datagram that the system does not accept at once is dropped.
+        """
         data = encode_message(message)
         for address in addresses:
-            # A full link or a dead receiver: the next message replaces this one.
+            # The link is full or the receiver is gone. The next message replaces
+            # this one.
             with suppress(OSError):
                 self.socket.sendto(data, address)
 
     def messages(self, expected: Any) -> Iterator[Datagram]:
-        """Yield messages as they come; what is none is counted and passed over."""
-        for data, host in self._datagrams():
+        """Yield messages as they arrive; count and skip datagrams of other types.
+
+        Args:
+            expected: The message class, or a union of classes.
+        """
+        for data, host in self._receive():
             decoded = decode_message(data, expected)
             if isinstance(decoded, Failure):
                 self.refused += 1
                 continue
             yield Datagram(host, decoded.unwrap())
 
-    def _datagrams(self) -> Iterator[tuple[bytes, str]]:
-        """Yield datagrams, gathered for a moment while there are some."""
+    def _receive(self) -> Iterator[tuple[bytes, str]]:
+        """Yield datagrams and their hosts, in batches while they arrive."""
         while True:
-            waiting = list(self._waiting())
-            yield from waiting
-            if waiting:
-                eventlet.sleep(GATHER_SECONDS)
+            batch = list(self._receive_batch())
+            yield from batch
+            if batch:
+                eventlet.sleep(BATCH_PAUSE_SECONDS)
             else:
                 trampoline(self.socket.fileno(), read=True)
 
-    def _waiting(self) -> Iterator[tuple[bytes, str]]:
-        """Yield the datagrams that are there, at most as many as are taken at once."""
-        for _ in range(MOST_AT_ONCE):
+    def _receive_batch(self) -> Iterator[tuple[bytes, str]]:
+        """Yield the datagrams in the socket's buffer, at most ``MAX_BATCH``."""
+        for _ in range(MAX_BATCH):
             try:
-                # Of the socket below: the green one would wait for the next datagram.
+                # Read from the underlying socket: the green socket would wait for
+                # the next datagram.
                 data, (host, _port) = self.socket.fd.recvfrom(MAX_BYTES)
             except BlockingIOError:
                 return
             except ConnectionError as error:
-                # An earlier datagram reached nobody.
+                # The system reports that an earlier datagram had no receiver.
                 logger.debug("%s: %s", self.address, error)
                 continue
             yield data, host
--- a/src/ridgecourse/net/deferred.py
+++ b/src/ridgecourse/net/deferred.py
@@ -1,9 +1,10 @@
-"""Modules that a library imports for a part of it that is not used here.
+"""Defers the import of modules that a library needs only for unused features.
 
-A start's processor time is mostly imports, and a process serves nobody before
-they are done. Where a library imports a large module for a part that no program
-uses, a stand-in takes its place during that import; it loads the module as soon
-as something of it is asked for, so that nothing changes but the time.
+Most of the processor time of a process start is spent on imports, and the process
+serves no requests before they are done. Where a library imports a large module for
+a feature that no program uses, a placeholder replaces the module during the import
+of the library. The placeholder loads the module when one of its attributes is used,
+so that only the time of the import differs.
 """
 
 import sys
@@ -15,28 +16,33 @@
 
 
 class DeferredModule(ModuleType):
-    """A module that is loaded when one of its attributes is asked for.
+    """A placeholder that loads its module when one of its attributes is used.
 
-    Attributes are looked up here only if they are missing, so that a look at
-    the stand-in itself, as eventlet takes one, does not load the module.
+    ``__getattr__`` runs only for missing attributes, so that inspecting the
+    placeholder itself, as eventlet does, does not load the module.
     """
 
     def __getattr__(self, name: str) -> Any:
-        # The import system looks at these of what it finds loaded.
+        # The import system reads dunder attributes of modules in sys.modules.
         if name.startswith("__") and sys.modules.get(self.__name__) is self:
             raise AttributeError(name)
         return getattr(load_module(self.__name__), name)
 
 
 def load_module(name: str) -> ModuleType:
-    """Load a module even while another stands in for it."""
+    """Load a module, also if a placeholder is registered under its name."""
     if isinstance(sys.modules.get(name), DeferredModule):
         del sys.modules[name]
     return import_module(name)
 
 
 def defer_call(module: str, name: str) -> Callable[..., Any]:
-    """Return a function that loads its module when it is called."""
+    """Return a wrapper that loads the module and calls its function.
+
+    Args:
+        module: Name of the module.
+        name: Name of the function in the module.
+    """
 
     def call(*arguments: Any, **options: Any) -> Any:
         return getattr(load_module(module), name)(*arguments, **options)
@@ -49,27 +55,30 @@
 def deferred(modules: Mapping[str, tuple[str, ...]]) -> Iterator[None]:
     """Defer modules that are imported within the block.
 
+    Modules that are already loaded are not deferred. A package keeps the placeholder
+    as its attribute until the module itself is loaded.
+
     Args:
-        modules: The modules, each with its functions that are imported by name.
-            What is loaded already is left alone. A package keeps the stand-in
-            as its attribute until the module itself is loaded.
+        modules: Maps each module to those of its functions that are imported by
+            name.
     """
-    standing_in = {}
+    placeholders = {}
     for module, functions in modules.items():
         if module in sys.modules:
             continue
-        stand_in = DeferredModule(module)
+        placeholder = DeferredModule(module)
         for name in functions:
-            setattr(stand_in, name, defer_call(module, name))
-        sys.modules[module] = standing_in[module] = stand_in
-    # With all of them in place: a package may import several of its modules.
-    for module, stand_in in standing_in.items():
-        package, _, own_name = module.rpartition(".")
+            setattr(placeholder, name, defer_call(module, name))
+        sys.modules[module] = placeholders[module] = placeholder
+    # After all placeholders are registered: a package may import several of its
+    # modules.
+    for module, placeholder in placeholders.items():
+        package, _, child_name = module.rpartition(".")
         if package:
-            setattr(import_module(package), own_name, stand_in)
+            setattr(import_module(package), child_name, placeholder)
     try:
         yield
     finally:
-        for module in standing_in:
+        for module in placeholders:
             if isinstance(sys.modules.get(module), DeferredModule):
                 del sys.modules[module]
--- a/src/ridgecourse/net/events.py
+++ b/src/ridgecourse/net/events.py
@@ -1,7 +1,7 @@
-"""Typed events: what a process did, as JSON lines on standard output.
+"""Writes typed events of a process as JSON lines on standard output.
 
 Each event carries a Lamport clock, so that ``ridgecourse-timeline`` can merge
-the streams of all processes in causal order without trusting their clocks.
+the streams of all processes in causal order without relying on their wall clocks.
 """
 
 from collections import Counter
@@ -17,13 +17,13 @@
 from ridgecourse.net.figures import Figures
 from ridgecourse.net.line_writer import LineWriter
 
-LINES_PER_SECOND = 300
-"""Events on requests written in a second; more are only counted. A gateway at its
-limit handles some 50 requests a second, each with two or three events."""
+MAX_REQUEST_EVENTS_PER_SECOND = 300
+"""Most events on requests written per second; further ones are only counted. A gateway
+at its limit handles some 50 requests a second, each with 2 or 3 events."""
 
 
 class EventKind(Enum):
-    """Everything that a process reports."""
+    """Kinds of events."""
 
     STARTED = "started"
     SETTINGS_CHANGED = "settings-changed"
@@ -81,7 +81,7 @@
     SUPPRESSED = "suppressed"
 
 
-REQUEST_KINDS = frozenset(
+RATE_LIMITED_KINDS = frozenset(
     {
         EventKind.REQUEST_DISPATCHED,
         EventKind.REQUEST_RETRIED,
@@ -90,26 +90,26 @@
         EventKind.REQUEST_ADMITTED,
     }
 )
-"""Events whose number grows with the traffic."""
+"""Events whose number grows with the traffic; their rate is limited."""
 
 
 class Event(Struct, omit_defaults=True):
-    """One event.
+    """One event of a process.
 
     Attributes:
-        kind: What happened.
-        process: Where.
-        incarnation: The process's life.
-        domain: The process's failure domain.
-        seq: Position in the process's own stream, from 0.
+        kind: Kind of the event.
+        process: Name of the process.
+        incarnation: Incarnation of the process.
+        domain: Failure domain of the process.
+        seq: Position in the event stream of the process, from 0.
         clock: Lamport clock.
         mono: Seconds since the machine started; never set back.
         wall: Time of day, in seconds since 1970.
-        request: Request it is about.
-        change: Change of configuration it is about.
-        target: Target it is about.
-        version: Root digest it is about.
-        offset: Offset of the log it is about.
+        request: Id of the request concerned; empty for none.
+        change: Id of the configuration change concerned; empty for none.
+        target: Name of the target concerned; empty for none.
+        version: Root digest of the weights version concerned; empty for none.
+        offset: Log offset concerned; -1 for none.
         detail: Further values by name.
     """
 
@@ -130,11 +130,15 @@
 
 
 class EventStream:
-    """Writes a process's events.
+    """Writes the events of a process.
 
     Attributes:
-        clock: The process's Lamport clock.
-        figures: Counts all events, written or not.
+        clock: The Lamport clock of the process.
+        seq: Position of the next event in the stream.
+        figures: Metrics of the process; they count all events, written or not.
+        second: The current second, for the limit on events on requests.
+        request_events_in_second: Events on requests in the current second.
+        suppressed: Events that were counted but not written, by kind.
     """
 
     def __init__(
@@ -149,13 +153,13 @@
         self.output = LineWriter()
         self.figures = Figures()
         self.second = 0
-        self.lines_in_second = 0
+        self.request_events_in_second = 0
         self.suppressed: Counter[str] = Counter()
         self.clock = 0
         self.seq = 0
 
     def merge(self, clock: int) -> None:
-        """Take in the clock of a received message."""
+        """Advance the Lamport clock to that of a received message."""
         self.clock = max(self.clock, clock)
 
     def emit(
@@ -168,7 +172,10 @@
         offset: int = -1,
         **detail: Any,
     ) -> None:
-        """Write an event; see ``Event`` for the arguments."""
+        """Count an event and write it, unless it exceeds the rate limit.
+
+        See ``Event`` for the arguments.
+        """
         self.figures.count(f"event_{kind.value.replace('-', '_')}")
         if self._is_over_limit(kind):
             self.suppressed[kind.value] += 1
@@ -194,16 +201,20 @@
         self.output.write(encode(event) + b"\n")
 
     def _is_over_limit(self, kind: EventKind) -> bool:
-        """Tell whether an event is only counted; tell of those that were."""
+        """Check whether an event exceeds the rate limit.
+
+        At the start of a second the method first emits an event with the numbers of
+        suppressed events and dropped lines since the last check.
+        """
         second = int(boottime())
         if second != self.second:
             self.second = second
-            self.lines_in_second = 0
-            lost, self.output.dropped = self.output.dropped, 0
+            self.request_events_in_second = 0
+            dropped, self.output.dropped = self.output.dropped, 0
             counts, self.suppressed = self.suppressed, Counter()
-            if counts or lost:
-                self.emit(EventKind.SUPPRESSED, counts=dict(counts), dropped=lost)
-        if kind not in REQUEST_KINDS:
+            if counts or dropped:
+                self.emit(EventKind.SUPPRESSED, counts=dict(counts), dropped=dropped)
+        if kind not in RATE_LIMITED_KINDS:
             return False
-        self.lines_in_second += 1
-        return self.lines_in_second > LINES_PER_SECOND
+        self.request_events_in_second += 1
+        return self.request_events_in_second > MAX_REQUEST_EVENTS_PER_SECOND
--- a/src/ridgecourse/net/exchange.py
+++ b/src/ridgecourse/net/exchange.py
@@ -1,8 +1,8 @@
-"""One request to a target, and what can be proved of its fate.
+"""Sends one request to a target and reports how far the request provably got.
 
-Each exchange has a connection of its own. A reused one may carry bytes left
-over from an earlier answer, or be closed by the target just when it is used
-again; both leave open whether a request has run.
+Each exchange opens its own connection. A reused connection may hold bytes of an
+earlier answer, or the target may close it just as the next request is sent. In both
+cases it would be unknown whether the request has run.
 """
 
 from collections.abc import Iterator
@@ -23,14 +23,14 @@
 from ridgecourse.net.http_server import HeaderList
 
 READ_BYTES = 16 * 1024
-RESET_AT_CLOSE = pack("ii", 1, 0)
-"""Value of SO_LINGER: linger for no time at all."""
-SHORTEST_WAIT = 0.001
-"""Seconds; a socket cannot wait for no time at all."""
+LINGER_RESET = pack("ii", 1, 0)
+"""Value of SO_LINGER that turns a close into a reset: linger for 0 seconds."""
+MIN_TIMEOUT_SECONDS = 0.001
+"""Shortest socket timeout: a timeout of 0 would make the socket non-blocking."""
 
 
 class NotSent(Exception):
-    """No connection came up, so no byte of the request was sent."""
+    """The connection could not be opened, so no byte of the request was sent."""
 
 
 class Broken(Exception):
@@ -38,37 +38,42 @@
 
 
 class TooLate(Broken):
-    """The time for the exchange ran out."""
+    """The deadline of the exchange passed."""
 
 
 class Disconnected(Broken):
-    """The other side ended the connection before the answer was whole."""
+    """The target ended the connection before the answer was complete."""
 
 
 class Exchange:
-    """A request on a connection of its own.
+    """A request and its answer, on a connection used for nothing else.
 
     Attributes:
         address: HOST:PORT of the target.
-        deadline: When to give up.
-        response: The answer, once its head has come.
+        deadline: Time by which the exchange must end, by ``boottime``.
+        connection: The HTTP connection.
+        sock: Socket of the connection; None before ``connect``.
+        response: The answer; None before its head was received.
     """
 
     def __init__(self, address: str, deadline: Seconds) -> None:
-        where = parse_address(address)
+        socket_address = parse_address(address)
         self.address = address
         self.deadline = deadline
-        self.connection = HTTPConnection(where.host, where.port)
+        self.connection = HTTPConnection(socket_address.host, socket_address.port)
         self.sock: Any = None
         self.response: BaseHTTPResponse | None = None
 
     def connect(self, seconds: float) -> None:
         """Open the connection.
 
+        Args:
+            seconds: Longest wait.
+
         Raises:
-            NotSent: It did not come up in time.
+            NotSent: The connection was refused or could not be opened in time.
         """
-        self.connection.timeout = max(SHORTEST_WAIT, seconds)
+        self.connection.timeout = max(MIN_TIMEOUT_SECONDS, seconds)
         try:
             self.connection.connect()
         except (HTTPError, OSError) as error:
@@ -81,15 +86,23 @@
     ) -> None:
         """Send the request.
 
+        Args:
+            method: HTTP method.
+            target: Path and query.
+            headers: Names and values; no default headers are added.
+            body: Body of the request; None for none.
+
         Raises:
-            Disconnected: Bytes may have arrived, but not all.
-            Broken: The request cannot be written.
+            TooLate: The deadline has passed.
+            Disconnected: The connection failed; a part of the request may have
+                arrived.
+            Broken: The request is malformed and cannot be written.
         """
         fields = HTTPHeaderDict(headers)
         for name in ("User-Agent", "Accept-Encoding", "Host"):
             if name not in fields:
                 fields[name] = SKIP_HEADER
-        self._wait_at_most(self.remaining())
+        self._set_timeout(self.remaining())
         try:
             self.connection.request(
                 method,
@@ -104,21 +117,22 @@
         except ValueError as error:
             raise Broken(f"{self.address}: {error}") from error
 
-    def receive_head(self, begin_by: Seconds | None = None) -> BaseHTTPResponse:
-        """Wait for the answer's head.
+    def receive_head(self, head_deadline: Seconds | None = None) -> BaseHTTPResponse:
+        """Wait for the head of the answer.
 
         Args:
-            begin_by: When the answer must have begun, if before the deadline.
+            head_deadline: Time by which the answer must begin, if before the deadline.
 
         Raises:
-            TooLate: It did not come by the deadline.
+            TooLate: The head was not received by the deadline.
             Disconnected: The connection ended.
-            Broken: What came is no answer, or it had not begun when it must have.
+            Broken: The received bytes are not a valid answer, or the answer did not
+                begin by ``head_deadline``.
         """
         wait = self.remaining()
-        if begin_by is not None:
-            wait = min(wait, begin_by - boottime())
-        self._wait_at_most(wait)
+        if head_deadline is not None:
+            wait = min(wait, head_deadline - boottime())
+        self._set_timeout(wait)
         try:
             self.response = self.connection.getresponse()
         except TimeoutError as error:
@@ -128,37 +142,40 @@
         except ConnectionError as error:
             raise Disconnected(f"{self.address}: {error!r}") from error
         except Exception as error:
-            # http.client has errors of its own for what is no answer.
+            # http.client raises its own errors for a malformed answer.
             raise Broken(f"{self.address}: {error!r}") from error
         return self.response
 
     def read_whole(self, limit: int) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
+
+        Args:
+            limit: Largest accepted size in bytes.
 
         Raises:
-            TooLate: It was not there by the deadline.
-            Broken: It ended early, or is longer than the limit.
+            TooLate: The body was not complete by the deadline.
+            Broken: The body ended early, or is longer than the limit.
         """
         return b"".join(self.read_pieces(limit))
 
     def read_pieces(self, limit: int, pause: float | None = None) -> Iterator[bytes]:
-        """Yield the body as it comes.
+        """Yield the pieces of the body as they arrive.
 
         Args:
-            limit: Most bytes in all.
-            pause: Longest wait for a next piece in seconds; None for no limit
-                but the deadline.
+            limit: Largest accepted size in bytes.
+            pause: Longest wait for the next piece in seconds; None to wait until
+                the deadline.
 
         Raises:
-            TooLate: It did not come in time.
-            Disconnected: It ended early.
-            Broken: It is longer than the limit.
+            TooLate: A piece did not arrive in time.
+            Disconnected: The body ended early.
+            Broken: The body is longer than the limit.
         """
         assert self.response is not None
         total = 0
         while True:
             wait = self.remaining()
-            self._wait_at_most(wait if pause is None else min(wait, pause))
+            self._set_timeout(wait if pause is None else min(wait, pause))
             try:
                 piece = self.response.read1(READ_BYTES)
             except (TimeoutError, ReadTimeoutError) as error:
@@ -173,41 +190,42 @@
             yield piece
 
     def remaining(self) -> float:
-        """Return the seconds left.
+        """Return the seconds left until the deadline.
 
         Raises:
-            TooLate: There are none.
+            TooLate: The deadline has passed.
         """
         left = self.deadline - boottime()
         if left <= 0:
             raise TooLate(f"{self.address}: out of time")
         return left
 
-    def _wait_at_most(self, seconds: float) -> None:
-        wait = max(SHORTEST_WAIT, seconds)
-        # urllib3 puts its own figure on the socket before it reads the head.
+    def _set_timeout(self, seconds: float) -> None:
+        wait = max(MIN_TIMEOUT_SECONDS, seconds)
+        # urllib3 sets the timeout of the connection on the socket before it reads
+        # the head.
         self.connection.timeout = wait
         self.sock.settimeout(wait)
 
     def abandon(self) -> None:
-        """End the connection by a reset: what is still on its way is not sent.
+        """Reset the connection, which discards bytes that are not yet sent.
 
-        A closed connection would bring it to the target first, on a slow link seconds
-        after whoever asked has gone.
+        An ordinary close would first deliver them to the target. On a slow link that
+        can be seconds after the client has gone.
         """
         if self.sock is not None:
             with suppress(OSError):
-                self.sock.setsockopt(SOL_SOCKET, SO_LINGER, RESET_AT_CLOSE)
-        self._release()
+                self.sock.setsockopt(SOL_SOCKET, SO_LINGER, LINGER_RESET)
+        self._close_connection()
 
     def close(self) -> None:
-        """End the connection; the target sees that nobody waits any more."""
+        """Close the connection; the target sees that the answer is not awaited."""
         if self.sock is not None:
             with suppress(OSError):
                 self.sock.shutdown(SHUT_RDWR)
-        self._release()
+        self._close_connection()
 
-    def _release(self) -> None:
+    def _close_connection(self) -> None:
         if self.response is not None:
             with suppress(OSError, HTTPError):
                 self.response.close()
--- a/src/ridgecourse/net/exit_code.py
+++ b/src/ridgecourse/net/exit_code.py
@@ -1,4 +1,4 @@
-"""Exit codes of all programs."""
+"""Exit codes of all programs: success, failure, wrong arguments or settings."""
 
 EXIT_OK = 0
 EXIT_FAILED = 1
--- a/src/ridgecourse/net/figures.py
+++ b/src/ridgecourse/net/figures.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms, served as text."""
+"""Serves counters and latency histograms in the Prometheus text format."""
 
 import logging
 from bisect import bisect_left
@@ -11,37 +11,39 @@
 logger = logging.getLogger(__name__)
 
 FIGURES_PORT = 9464
-"""Port of the figures, on each instance; deploy/system.toml names it too."""
-FIGURES_PATH = "/metrics"
+"""Port of the metrics on each instance; deploy/system.toml names it too."""
+METRICS_PATH = "/metrics"
 
-BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0)
-"""Upper bounds in seconds; the objectives of today's routes are 0.15 to 0.5 s."""
+BUCKET_BOUNDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0)
+"""Upper bounds of the buckets, in seconds; the latency objectives of the routes are
+0.15 to 0.5 s."""
 
 
 class Histogram:
-    """How many spans lay in each bucket.
+    """Counts durations by bucket.
 
     Attributes:
-        counts: One for each bucket, and one for what lies beyond.
-        total: Sum of all spans, in seconds.
+        counts: Number of durations in each bucket; the last entry counts those
+            above the highest bound.
+        total: Sum of all durations, in seconds.
     """
 
     def __init__(self) -> None:
-        self.counts = [0] * (len(BUCKETS) + 1)
+        self.counts = [0] * (len(BUCKET_BOUNDS) + 1)
         self.total = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Take in a span."""
-        self.counts[bisect_left(BUCKETS, seconds)] += 1
+        """Record a duration."""
+        self.counts[bisect_left(BUCKET_BOUNDS, seconds)] += 1
         self.total += seconds
 
 
 class Figures:
-    """The figures of one process.
+    """The counters and histograms of one process.
 
     Attributes:
-        counters: By name.
-        histograms: By name.
+        counters: Values of the counters, by name.
+        histograms: Histograms of durations, by name.
     """
 
     def __init__(self) -> None:
@@ -49,50 +51,53 @@
         self.histograms: dict[str, Histogram] = {}
 
     def count(self, name: str, value: int = 1) -> None:
-        """Add to a counter."""
+        """Add a value to a counter."""
         self.counters[name] += value
 
     def observe(self, name: str, seconds: float) -> None:
-        """Take a span into a histogram."""
+        """Record a duration in a histogram."""
         if name not in self.histograms:
             self.histograms[name] = Histogram()
         self.histograms[name].observe(seconds)
 
     def lines(self) -> Iterator[str]:
-        """Yield the figures, one a line, in the Prometheus text format."""
+        """Yield the lines of the Prometheus text format, one metric a line."""
         for name, value in sorted(self.counters.items()):
             yield f"ridgecourse_{name}_total {value}"
         for name, histogram in sorted(self.histograms.items()):
-            below = 0
-            for bound, count in zip(BUCKETS, histogram.counts, strict=False):
-                below += count
-                yield f'ridgecourse_{name}_seconds_bucket{{le="{bound}"}} {below}'
-            number = sum(histogram.counts)
-            yield f'ridgecourse_{name}_seconds_bucket{{le="+Inf"}} {number}'
+            cumulative = 0
+            for bound, count in zip(BUCKET_BOUNDS, histogram.counts, strict=False):
+                cumulative += count
+                yield f'ridgecourse_{name}_seconds_bucket{{le="{bound}"}} {cumulative}'
+            total_count = sum(histogram.counts)
+            yield f'ridgecourse_{name}_seconds_bucket{{le="+Inf"}} {total_count}'
             yield f"ridgecourse_{name}_seconds_sum {histogram.total:.6f}"
-            yield f"ridgecourse_{name}_seconds_count {number}"
+            yield f"ridgecourse_{name}_seconds_count {total_count}"
 
     def serve(self, request: HttpRequest) -> HttpReply:
-        """Answer with all figures."""
+        """Return all metrics as an HTTP reply."""
         body = "\n".join([*self.lines(), ""]).encode()
         return HttpReply(200, body, [("Content-Type", "text/plain; version=0.0.4")])
 
 
 class FiguresServer:
-    """Serves a process's figures; the process goes on where it cannot."""
+    """Serves the metrics of a process.
+
+    Without a free port the process runs without serving its metrics.
+    """
 
     def __init__(self, host: str, figures: Figures) -> None:
         router = HttpRouter()
-        router.add("GET", FIGURES_PATH, figures.serve)
+        router.add("GET", METRICS_PATH, figures.serve)
         self.server = HttpServer(Address(host, FIGURES_PORT), router)
 
     def start(self) -> None:
-        """Begin to serve, if the port is free."""
+        """Start the server; log a warning if the port is in use."""
         try:
             self.server.start()
         except OSError as error:
-            logger.warning("no figures at port %d: %s", FIGURES_PORT, error)
+            logger.warning("cannot serve metrics on port %d: %s", FIGURES_PORT, error)
 
     def close(self) -> None:
-        """Stop."""
+        """Stop the server."""
         self.server.close()
--- a/src/ridgecourse/net/front_server.py
+++ b/src/ridgecourse/net/front_server.py
@@ -1,8 +1,8 @@
-"""The callers' HTTP server, on ``eventlet.wsgi``.
+"""The HTTP server for clients, on ``eventlet.wsgi``.
 
-Unlike ``http_server`` it hands out requests unaltered: the target as it was
-sent, header lines in their order. It also tells a handler that its caller has
-gone away while the handler still waits for something else.
+Unlike ``http_server`` it passes requests on unaltered, with the request target as sent
+and the header lines in their order. It also interrupts a handler whose client
+disconnects while the handler waits for something else.
 """
 
 import logging
@@ -29,32 +29,35 @@
 logger = logging.getLogger(__name__)
 
 MAX_CONNECTIONS = 2048
-"""Open connections; an entry has some 4,000 descriptors, each request takes two."""
-MAX_LINE_BYTES = 64 * 1024
-"""Longest header line read; what is really accepted is in the caller limits."""
+"""Most open connections. An entry has some 4,000 file descriptors, and each request
+uses 2."""
+MAX_HEADER_LINE_BYTES = 64 * 1024
+"""Longest header line that the server reads; ``CallerLimits`` sets what is accepted."""
 READ_BYTES = 64 * 1024
-NO_REUSE = ("Connection", "close")
+CONNECTION_CLOSE = ("Connection", "close")
 
-eventlet.wsgi.MAX_HEADER_LINE = MAX_LINE_BYTES
-eventlet.wsgi.MAX_TOTAL_HEADER_SIZE = 4 * MAX_LINE_BYTES
+eventlet.wsgi.MAX_HEADER_LINE = MAX_HEADER_LINE_BYTES
+eventlet.wsgi.MAX_TOTAL_HEADER_SIZE = 4 * MAX_HEADER_LINE_BYTES
 
 
 class CallerGone(Exception):
-    """The caller closed its connection before it had its whole answer."""
+    """The client closed its connection before it received the complete answer."""
 
 
-class BadHead(Exception):
-    """A request's head that cannot be passed on."""
+class BadRequestHead(Exception):
+    """The head of a request is malformed and cannot be passed on."""
 
 
 class FrontRequest:
-    """A caller's request.
+    """A request of a client.
 
     Attributes:
-        method: As sent.
+        environ: The WSGI environment.
+        protocol: The connection of the client.
+        method: HTTP method as sent.
         target: Path and query as sent, not decoded.
         headers: Names and values in the order sent.
-        head_bytes: Length of the head.
+        head_bytes: Length of the request head.
     """
 
     def __init__(self, environ: dict[str, Any], protocol: "FrontProtocol") -> None:
@@ -69,20 +72,23 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """Return the request target without its query."""
         return self.target.partition("?")[0]
 
     def values(self, name: str) -> list[str]:
-        """Return all values of a header."""
+        """Return all values of a header, in the order sent."""
         return self.protocol.headers.get_all(name, [])
 
     def read_body(self, limit: int) -> bytes:
         """Return the body.
 
+        Args:
+            limit: Largest accepted size in bytes.
+
         Raises:
-            BodyTooLarge: It has more bytes than the limit.
-            BadHead: Its length or framing is wrong.
-            CallerGone: The caller went away before its end.
+            BodyTooLarge: The body is larger than the limit.
+            BadRequestHead: The length or the chunk framing of the body is wrong.
+            CallerGone: The client disconnected before the end of the body.
         """
         source = self.environ["wsgi.input"]
         declared = source.content_length or 0
@@ -91,7 +97,7 @@
         try:
             data = b"".join(self._read_pieces(source, limit))
         except ValueError as error:
-            raise BadHead(f"chunk framing: {error}") from error
+            raise BadRequestHead(f"chunk framing: {error}") from error
         except OSError as error:
             raise CallerGone(str(error)) from error
         if not source.chunked_input and len(data) < declared:
@@ -109,10 +115,10 @@
             yield piece
 
     def is_abandoned(self) -> bool:
-        """Tell whether the caller's connection has ended by now.
+        """Check whether the client has disconnected.
 
-        A process that was frozen learns of several things at the same time, and
-        this may be the last of them that its watch comes to.
+        After a freeze a process has several events to handle at once, and the green
+        thread that watches the connection may run last.
         """
         try:
             return not self.protocol.connection.fd.recv(1, MSG_PEEK | MSG_DONTWAIT)
@@ -123,18 +129,21 @@
 
     @contextmanager
     def watched(self) -> Iterator[None]:
-        """Raise ``CallerGone`` in the block when the caller goes away."""
-        watcher = eventlet.spawn(self._watch, getcurrent())
+        """Raise ``CallerGone`` in the block when the client disconnects."""
+        watcher = eventlet.spawn(self._interrupt_on_disconnect, getcurrent())
         try:
             yield
         finally:
             watcher.kill()
 
-    def _watch(self, handler: Any) -> None:
-        """Interrupt the handler once the caller's connection has ended.
+    def _interrupt_on_disconnect(self, handler: Any) -> None:
+        """Interrupt the handler once the client has disconnected.
+
+        Readable bytes belong to a pipelined request. They hide a later end of the
+        connection, so that the watch ends when there are any.
 
-        Bytes that wait to be read are a next request, sent early; then an end
-        cannot be seen any more and the watch is over.
+        Args:
+            handler: The greenlet to interrupt.
         """
         connection = self.protocol.connection
         with suppress(OSError):
@@ -145,13 +154,13 @@
 
 
 class FrontReply(NamedTuple):
-    """What a caller is answered.
+    """A reply to a client.
 
     Attributes:
         status: HTTP status.
-        reason: Its text; empty for the usual one.
-        headers: Names and values, without framing.
-        body: Bytes, or an iterable of them for a stream.
+        reason: Reason phrase; empty for the standard phrase.
+        headers: Names and values, without framing headers.
+        body: Bytes, or an iterable of bytes for a stream.
     """
 
     status: int
@@ -164,15 +173,15 @@
 
 
 class FrontProtocol(eventlet.wsgi.HttpProtocol):
-    """One caller's connection."""
+    """The connection of one client."""
 
     def raw_target(self) -> str:
-        """Return the request's target as it was sent."""
+        """Return the request target as sent, not decoded."""
         words = self.raw_requestline.decode("latin1").split()
         return words[1] if len(words) > 1 else self.path
 
     def get_environ(self) -> dict[str, Any]:
-        """Return the WSGI environment, with this connection in it."""
+        """Return the WSGI environment, extended by this connection."""
         environ = super().get_environ()
         environ["ridgecourse.protocol"] = self
         return environ
@@ -184,12 +193,12 @@
         try:
             line = super()._read_request_line()
         except (OSError, eventlet.Timeout) as error:
-            logger.debug("connection rested too long: %s", error)
+            logger.debug("connection idle for too long: %s", error)
             return b""
         return line or b""
 
     def handle(self) -> None:
-        """Serve the connection's requests until it ends."""
+        """Serve the requests of the connection until the connection ends."""
         connections = self.server.front.connections
         connections.add(self)
         try:
@@ -200,25 +209,26 @@
             connections.discard(self)
 
     def finish(self) -> None:
-        """Flush and close; the caller may be gone already."""
+        """Flush and close; the client may have disconnected."""
         with suppress(OSError):
             super().finish()
 
-    def end_if_idle(self) -> None:
-        """Close the connection if it waits for a request."""
+    def close_if_idle(self) -> None:
+        """Close the connection if no request is in progress."""
         if self.conn_state[2] == eventlet.wsgi.STATE_IDLE:
             with suppress(OSError):
                 self.connection.shutdown(2)
 
 
 class FrontServer(HttpServer):
-    """Serves callers on one address.
+    """Serves clients on one address.
 
     Attributes:
-        limits: What callers may send; may change at any time.
-        closing: Whether each answer ends its connection.
+        handler: Answers the requests.
+        limits: Limits on requests and connections; may change at any time.
+        closing: Whether the server closes each connection after its next answer.
         connections: Open connections.
-        in_flight: Requests being answered.
+        in_flight: Number of requests in progress.
     """
 
     def __init__(self, address: Address, handler: FrontHandler) -> None:
@@ -234,7 +244,7 @@
         front = self
 
         class BoundProtocol(FrontProtocol):
-            """The protocol, with its way back to this server."""
+            """The protocol, with a reference to this server."""
 
             def __init__(self, conn_state: Any, server: Any) -> None:
                 server.front = front
@@ -250,7 +260,7 @@
                 log_output=False,
                 minimum_chunk_size=1,
                 capitalize_response_headers=False,
-                url_length_limit=MAX_LINE_BYTES,
+                url_length_limit=MAX_HEADER_LINE_BYTES,
                 socket_timeout=self.limits.header_seconds,
                 keepalive=self.limits.idle_seconds,
                 debug=False,
@@ -259,20 +269,20 @@
     def answer(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer a request, as WSGI has it."""
+        """Answer a request as a WSGI application."""
         protocol: FrontProtocol = environ["ridgecourse.protocol"]
         request = FrontRequest(environ, protocol)
         self.in_flight += 1
         try:
-            reply = self._reply(request)
+            reply = self._call_handler(request)
         except BaseException:
             self.in_flight -= 1
             raise
         headers = list(reply.headers)
         if self.closing:
-            headers.append(NO_REUSE)
-        if NO_REUSE in headers:
-            headers.remove(NO_REUSE)
+            headers.append(CONNECTION_CLOSE)
+        if CONNECTION_CLOSE in headers:
+            headers.remove(CONNECTION_CLOSE)
             protocol.close_connection = True
         status = f"{reply.status} {reply.reason}"
         if not reply.reason:
@@ -280,9 +290,9 @@
         if isinstance(reply.body, bytes):
             headers.append(("Content-Length", str(len(reply.body))))
         start_response(status, headers)
-        return self._send(reply)
+        return self._send_body(reply)
 
-    def _send(self, reply: FrontReply) -> Iterator[bytes]:
+    def _send_body(self, reply: FrontReply) -> Iterator[bytes]:
         try:
             if isinstance(reply.body, bytes):
                 yield reply.body
@@ -291,13 +301,17 @@
         finally:
             self.in_flight -= 1
 
-    def _reply(self, request: FrontRequest) -> FrontReply:
+    def _call_handler(self, request: FrontRequest) -> FrontReply:
         try:
             return self.handler(request)
         except BodyTooLarge as error:
-            return FrontReply(413, headers=[NO_REUSE], body=f"{error}\n".encode())
-        except BadHead as error:
-            return FrontReply(400, headers=[NO_REUSE], body=f"{error}\n".encode())
+            return FrontReply(
+                413, headers=[CONNECTION_CLOSE], body=f"{error}\n".encode()
+            )
+        except BadRequestHead as error:
+            return FrontReply(
+                400, headers=[CONNECTION_CLOSE], body=f"{error}\n".encode()
+            )
         except CallerGone:
             raise
         except Exception:
@@ -305,6 +319,6 @@
             return FrontReply(502, body=b"internal error\n")
 
     def end_idle_connections(self) -> None:
-        """Close the connections that wait for a request."""
+        """Close the connections without a request in progress."""
         for protocol in list(self.connections):
-            protocol.end_if_idle()
+            protocol.close_if_idle()
--- a/src/ridgecourse/net/http_client.py
+++ b/src/ridgecourse/net/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP clients on ``urllib3``."""
+"""HTTP client on ``urllib3`` for requests between processes."""
 
 from collections.abc import Callable, Iterator
 from contextlib import closing
@@ -14,11 +14,11 @@
 from ridgecourse.net.address import parse_address
 
 READ_BYTES = 16 * 1024
-"""Read at a time: so little that a body on a slow link shows that it comes."""
+"""Bytes per read; small, so that the progress of a body on a slow link can be seen."""
 
 
 class NoConnection(Exception):
-    """No connection could be made, so no byte of the request was sent."""
+    """The connection could not be opened, so no byte of the request was sent."""
 
 
 class ExchangeFailed(Exception):
@@ -26,11 +26,12 @@
 
 
 class HttpClient:
-    """Requests with connection reuse and without hidden retries.
+    """Sends requests over reused connections, without retries.
 
     Attributes:
         connect_seconds: Longest wait for a connection.
         source_address: Local address to connect from; None for any.
+        pool: Idle connections by server.
     """
 
     def __init__(
@@ -62,10 +63,15 @@
         """Send a request and return the response with its body unread.
 
         Args:
+            method: HTTP method.
+            address: HOST:PORT of the server.
+            path: Path and query.
+            body: Body of the request; None for none.
+            headers: Headers of the request; None for none.
             timeout: Longest wait for each read, in seconds.
-            fresh: Open a connection for this request alone. A reused one may
-                have been closed by the server while idle, which cannot be told
-                apart from one lost after sending.
+            fresh: Whether to open a connection for this request alone. The server
+                may have closed a reused connection while it was idle, and the
+                client cannot distinguish that from a loss after sending.
 
         Raises:
             NoConnection: Nothing was sent.
@@ -91,10 +97,10 @@
     def _pool(self, address: str, fresh: bool) -> HTTPConnectionPool:
         if not fresh:
             return self.pool.connection_from_url(f"http://{address}")
-        where = parse_address(address)
+        socket_address = parse_address(address)
         return HTTPConnectionPool(
-            where.host,
-            where.port,
+            socket_address.host,
+            socket_address.port,
             maxsize=1,
             retries=False,
             source_address=self.source_address,
@@ -111,17 +117,17 @@
         limit: int = 64 * 1024 * 1024,
         on_piece: Callable[[], None] | None = None,
     ) -> tuple[int, bytes, dict[str, str]]:
-        """Send a request and return status, whole body and headers.
+        """Send a request and return status, complete body and headers.
 
         Args:
-            method: Its method.
-            address: HOST:PORT.
-            path: Its path and query.
-            body: Its body; None for none.
-            headers: Its headers; None for none.
+            method: HTTP method.
+            address: HOST:PORT of the server.
+            path: Path and query.
+            body: Body of the request; None for none.
+            headers: Headers of the request; None for none.
             timeout: Longest wait for each read, in seconds.
-            limit: Most bytes of the answer's body.
-            on_piece: Called with each piece of the body that has come.
+            limit: Largest accepted size of the response body, in bytes.
+            on_piece: Called without arguments for each received piece of the body.
 
         Raises:
             NoConnection: Nothing was sent.
@@ -130,7 +136,7 @@
         response = self.send(method, address, path, body, headers, timeout)
         with closing(response):
             pieces = read_pieces(response, limit)
-            data = b"".join(noting(pieces, on_piece) if on_piece else pieces)
+            data = b"".join(with_progress(pieces, on_piece) if on_piece else pieces)
             response.release_conn()
             return response.status, data, dict(response.headers)
 
@@ -140,7 +146,11 @@
 
 
 def read_pieces(response: BaseHTTPResponse, limit: int) -> Iterator[bytes]:
-    """Yield a body in pieces.
+    """Yield the pieces of a response body.
+
+    Args:
+        response: The response, with its body unread.
+        limit: Largest accepted size of the body, in bytes.
 
     Raises:
         ExchangeFailed: The connection failed, or the body is over the limit.
@@ -156,15 +166,21 @@
         raise ExchangeFailed(str(error)) from error
 
 
-def noting(pieces: Iterator[bytes], on_piece: Callable[[], None]) -> Iterator[bytes]:
-    """Yield pieces, and note that each has come."""
+def with_progress(
+    pieces: Iterator[bytes], on_piece: Callable[[], None]
+) -> Iterator[bytes]:
+    """Yield pieces, calling a function before each piece."""
     for piece in pieces:
         on_piece()
         yield piece
 
 
 def read_lines(response: BaseHTTPResponse, limit: int) -> Iterator[bytes]:
-    """Yield the lines of a streamed body as they come, ends stripped.
+    """Yield the lines of a streamed body as they arrive, without line ends.
+
+    Args:
+        response: The response, with its body unread.
+        limit: Largest accepted length of an unfinished line, in bytes.
 
     Raises:
         ExchangeFailed: The connection failed, or a line is over the limit.
--- a/src/ridgecourse/net/http_server.py
+++ b/src/ridgecourse/net/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP servers on ``eventlet.wsgi``."""
+"""HTTP server on ``eventlet.wsgi`` for requests between processes."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -14,8 +14,8 @@
 
 logger = logging.getLogger(__name__)
 
-SLOW_SENDER_SECONDS = 15.0
-"""A connection that sends nothing for this long while it should is closed."""
+RECEIVE_TIMEOUT_SECONDS = 15.0
+"""Time without a byte after which the server closes a connection that should send."""
 MAX_CONNECTIONS = 1024
 
 STATUS_TEXT = {
@@ -44,11 +44,18 @@
 
 
 class BodyTooLarge(Exception):
-    """A body longer than its reader accepts."""
+    """The body is larger than the handler accepts."""
 
 
 class HttpRequest:
-    """A request as a handler sees it."""
+    """A request, as it is passed to a handler.
+
+    Attributes:
+        environ: The WSGI environment.
+        method: HTTP method.
+        path: Decoded path.
+        query: Parameters of the query; of a repeated one, the last value.
+    """
 
     def __init__(self, environ: dict[str, Any]) -> None:
         self.environ = environ
@@ -60,14 +67,19 @@
         }
 
     def header(self, name: str, default: str = "") -> str:
-        """Return a header's value."""
+        """Return the value of a header.
+
+        Args:
+            name: Name of the header, in any case.
+            default: Returned if the request lacks the header.
+        """
         key = name.upper().replace("-", "_")
         if key in ("CONTENT_TYPE", "CONTENT_LENGTH"):
             return self.environ.get(key, default)
         return self.environ.get(f"HTTP_{key}", default)
 
     def is_signed(self, key: str, body: bytes = b"") -> bool:
-        """Tell whether a process that holds the key signed this request."""
+        """Check whether a process that holds the shared key signed this request."""
         header = self.header(AUTH_HEADER)
         return verify_request(key, header, self.method, self.path, body)
 
@@ -75,10 +87,11 @@
         """Return the body.
 
         Args:
-            limit: Most bytes accepted.
+            limit: Largest accepted size in bytes.
 
         Raises:
-            BodyTooLarge: The body is longer.
+            BodyTooLarge: The body is larger than the limit.
+            ConnectionError: The body ended early.
         """
         declared = self.header("Content-Length")
         if declared and (not declared.isdecimal() or int(declared) > limit):
@@ -92,11 +105,11 @@
 
 
 class HttpReply(NamedTuple):
-    """What a handler answers.
+    """The reply of a handler.
 
     Attributes:
         status: HTTP status.
-        body: Bytes, or an iterable of them for a streamed answer.
+        body: Bytes, or an iterable of bytes for a streamed reply.
         headers: Names and values.
     """
 
@@ -110,24 +123,24 @@
 
 
 class HttpRouter:
-    """A WSGI application that finds a handler by method and path prefix."""
+    """A WSGI application that selects a handler by method and path prefix."""
 
     def __init__(self) -> None:
         self.routes: list[tuple[str, str, Handler]] = []
         self.mounts: list[tuple[str, WsgiApp]] = []
 
     def add(self, method: str, prefix: str, handler: Handler) -> None:
-        """Send requests whose path starts with a prefix to a handler."""
+        """Route requests with a method and a path prefix to a handler."""
         self.routes.append((method, prefix, handler))
 
     def mount(self, prefix: str, app: WsgiApp) -> None:
-        """Send everything below a prefix to a WSGI application."""
+        """Route all requests with a path prefix to a WSGI application."""
         self.mounts.append((prefix, app))
 
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer a request, as WSGI has it."""
+        """Answer a request as a WSGI application."""
         path = environ.get("PATH_INFO", "/")
         for prefix, app in self.mounts:
             if path.startswith(prefix):
@@ -142,7 +155,7 @@
         return body
 
     def answer(self, request: HttpRequest) -> HttpReply:
-        """Return the reply to a request; a handler's fault becomes a status."""
+        """Return the reply to a request, with an error status if the handler raises."""
         handler = self.find(request)
         if handler is None:
             return HttpReply(404, b"no such path\n")
@@ -157,21 +170,23 @@
             return HttpReply(500, b"internal error\n")
 
     def find(self, request: HttpRequest) -> Handler | None:
-        """Return the handler with the longest matching prefix."""
-        best: tuple[int, Handler] | None = None
+        """Return the handler with the longest matching prefix, or None."""
+        longest_match: tuple[int, Handler] | None = None
         for method, prefix, handler in self.routes:
             if method != request.method or not request.path.startswith(prefix):
                 continue
-            if best is None or len(prefix) > best[0]:
-                best = (len(prefix), handler)
-        return best[1] if best else None
+            if longest_match is None or len(prefix) > longest_match[0]:
+                longest_match = (len(prefix), handler)
+        return longest_match[1] if longest_match else None
 
 
 class HttpServer:
     """Serves a WSGI application on one address.
 
     Attributes:
-        address: Where it listens; the port is the real one after ``start``.
+        address: Address to listen on; after ``start`` with the port that the system
+            has assigned.
+        app: The WSGI application.
     """
 
     def __init__(self, address: Address, app: WsgiApp) -> None:
@@ -182,10 +197,10 @@
         self.thread: Any = None
 
     def start(self) -> None:
-        """Listen and begin to serve.
+        """Listen and start serving.
 
         Raises:
-            OSError: The address cannot be listened on.
+            OSError: The server cannot listen on the address.
         """
         self.listener = eventlet.listen(self.address, reuse_port=False, backlog=512)
         self.address = Address(*self.listener.getsockname()[:2])
@@ -198,14 +213,14 @@
                 self.app,
                 custom_pool=self.pool,
                 log_output=False,
-                socket_timeout=SLOW_SENDER_SECONDS,
-                # Tokens go out as they come, not when 4 KiB have gathered.
+                socket_timeout=RECEIVE_TIMEOUT_SECONDS,
+                # Send each token at once instead of buffering 4 KiB.
                 minimum_chunk_size=1,
                 debug=False,
             )
 
     def stop_listening(self) -> None:
-        """Accept no further connections; those open go on."""
+        """Accept no further connections; open connections are still served."""
         if self.thread is not None:
             self.thread.kill()
             self.thread = None
@@ -214,7 +229,7 @@
             self.listener = None
 
     def close(self) -> None:
-        """Stop listening and end what is open."""
+        """Stop listening and close all connections."""
         self.stop_listening()
         for worker in list(self.pool.coroutines_running):
             worker.kill()
--- a/src/ridgecourse/net/import_pause.py
+++ b/src/ridgecourse/net/import_pause.py
@@ -1,9 +1,9 @@
-"""Collects no garbage while a program imports; imported before anything else.
+"""Pauses garbage collection during imports; a program imports this module first.
 
-Nothing that an import makes becomes garbage, and the collector looks through it
-again and again: a fifth to a third of an import's processor time. What has been
-imported by the end of the pause is never looked through again, which also makes
-later collections cheaper.
+Objects that an import creates do not become garbage, yet the collector traverses them
+again and again, which takes 1/5 to 1/3 of the processor time of an import. At the end
+of the pause all existing objects are excluded from later collections, which makes
+those cheaper too.
 """
 
 import gc
@@ -12,6 +12,6 @@
 
 
 def end_import_pause() -> None:
-    """Collect again, without what has been imported."""
+    """Resume garbage collection, excluding all objects that exist."""
     gc.freeze()
     gc.enable()
--- a/src/ridgecourse/net/kept_connections.py
+++ b/src/ridgecourse/net/kept_connections.py
@@ -1,7 +1,7 @@
-"""Connections to one process that is asked small questions many times a second.
+"""Persistent connections for many small requests a second to one process.
 
-A question over ``HttpClient`` looks up its pool, copies time-outs and asks the system
-whether the connection has ended, before it is sent.
+``HttpClient`` costs more per request: it looks up the pool, copies the timeouts and
+asks the system whether the connection has ended, before it sends the request.
 """
 
 from contextlib import suppress
@@ -14,24 +14,24 @@
 
 
 class KeptConnections:
-    """Asks one process, over connections that stay open.
+    """Sends requests to one process over persistent connections.
 
     Attributes:
         address: HOST:PORT of the process.
-        source: Local address to connect from; None for any.
-        idle: Open connections that nobody uses now.
+        source_address: Local address to connect from; None for any.
+        idle_connections: Open connections without a request in progress.
     """
 
-    def __init__(self, address: str, source: str | None = None) -> None:
+    def __init__(self, address: str, source_address: str | None = None) -> None:
         self.address = address
-        self.source = None if source is None else (source, 0)
-        self.idle: list[HTTPConnection] = []
+        self.source_address = None if source_address is None else (source_address, 0)
+        self.idle_connections: list[HTTPConnection] = []
 
     def get(self, path: str, timeout: float) -> tuple[int, bytes]:
-        """Return status and body of an answer.
+        """Send a GET request and return status and body of the answer.
 
-        A question on a connection that the process has closed meanwhile is asked once
-        more, on a new one.
+        If the process has closed a kept connection, the request is sent again, at last
+        on a new connection.
 
         Args:
             path: Path and query.
@@ -39,27 +39,29 @@
 
         Raises:
             NoConnection: Nothing was sent.
-            ExchangeFailed: The question may have been received.
+            ExchangeFailed: The request may have been received.
         """
-        while self.idle:
+        while self.idle_connections:
             with suppress(ConnectionError):
-                return self._ask(self.idle.pop(), path, timeout)
-        where = parse_address(self.address)
-        fresh = HTTPConnection(where.host, where.port, source_address=self.source)
+                return self._exchange(self.idle_connections.pop(), path, timeout)
+        socket_address = parse_address(self.address)
+        connection = HTTPConnection(
+            socket_address.host, socket_address.port, source_address=self.source_address
+        )
         try:
-            return self._ask(fresh, path, timeout)
+            return self._exchange(connection, path, timeout)
         except ConnectionError as error:
             raise ExchangeFailed(f"{self.address}: {error!r}") from error
 
-    def _ask(
+    def _exchange(
         self, connection: HTTPConnection, path: str, timeout: float
     ) -> tuple[int, bytes]:
-        """Ask on one connection; it is kept if it is as good as before.
+        """Send a request on a connection, and keep the connection if it is still open.
 
         Raises:
             ConnectionError: The process ended the connection.
             NoConnection: Nothing was sent.
-            ExchangeFailed: The question may have been received.
+            ExchangeFailed: The request may have been received.
         """
         connection.timeout = timeout
         if connection.sock is not None:
@@ -74,9 +76,10 @@
         except NewConnectionError as error:
             raise NoConnection(f"{self.address}: {error}") from error
         except Exception as error:
-            # Of urllib3 and the socket, and http.client's own for what is no answer.
+            # Errors of urllib3 and the socket, and those of http.client for a malformed
+            # answer.
             connection.close()
             raise ExchangeFailed(f"{self.address}: {error!r}") from error
         if connection.sock is not None:
-            self.idle.append(connection)
+            self.idle_connections.append(connection)
         return response.status, body
--- a/src/ridgecourse/net/line_writer.py
+++ b/src/ridgecourse/net/line_writer.py
@@ -1,4 +1,4 @@
-"""Lines on standard output that never hold the process up."""
+"""Writes lines to standard output without blocking the process."""
 
 import atexit
 import os
@@ -8,55 +8,66 @@
 import eventlet
 from eventlet.hubs import trampoline
 
-MAX_WAITING_BYTES = 256 * 1024
-"""Lines kept while the reader of the output does not read; more are dropped. Some
-seconds of a busy gateway."""
-READER_SECONDS = 1.0
-"""Between two looks at a reader that does not read."""
+MAX_BUFFERED_BYTES = 256 * 1024
+"""Most bytes buffered while the reader of the output does not read; further lines are
+dropped. The buffer holds the output of a busy gateway for some seconds."""
+BLOCKED_POLL_SECONDS = 1.0
+"""Interval between two attempts to write while the reader does not read."""
 
 
 class LineWriter:
-    """Writes lines to a descriptor in the background.
+    """Writes lines to a file descriptor in the background.
 
     Attributes:
-        dropped: Lines that were dropped since the last one that was written.
+        descriptor: The file descriptor.
+        lines: Buffered lines.
+        buffered_bytes: Size of the buffered lines.
+        dropped: Lines dropped since the counter was last reset.
+        is_draining: Whether a green thread is writing the buffered lines.
     """
 
     def __init__(self, descriptor: int = 1) -> None:
         self.descriptor = descriptor
         self.lines: deque[bytes] = deque()
-        self.waiting_bytes = 0
+        self.buffered_bytes = 0
         self.dropped = 0
-        self.running = False
+        self.is_draining = False
         os.set_blocking(descriptor, False)
         atexit.register(self.flush)
 
     def write(self, line: bytes) -> None:
-        """Queue a line, or drop it where too much waits."""
-        if self.waiting_bytes + len(line) > MAX_WAITING_BYTES:
+        """Buffer a line, or drop it if the buffer is full."""
+        if self.buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             return
         self.lines.append(line)
-        self.waiting_bytes += len(line)
-        if not self.running:
-            self.running = True
-            eventlet.spawn(self._drain)
+        self.buffered_bytes += len(line)
+        if not self.is_draining:
+            self.is_draining = True
+            eventlet.spawn(self._write_buffered)
 
-    def _drain(self) -> None:
+    def _write_buffered(self) -> None:
         try:
             while self.lines:
-                if not self._write_some():
+                if not self._write_available():
                     with suppress(eventlet.Timeout):
-                        trampoline(self.descriptor, write=True, timeout=READER_SECONDS)
+                        trampoline(
+                            self.descriptor, write=True, timeout=BLOCKED_POLL_SECONDS
+                        )
         except OSError:
-            # Nobody reads any more, and there is nowhere to say so.
+            # The reader has closed the output, so that there is no place to report the
+            # error.
             self.lines.clear()
-            self.waiting_bytes = 0
+            self.buffered_bytes = 0
         finally:
-            self.running = False
+            self.is_draining = False
 
-    def _write_some(self) -> bool:
-        """Write what goes at once; tell whether anything went."""
+    def _write_available(self) -> bool:
+        """Write as many bytes as the descriptor accepts at once.
+
+        Returns:
+            Whether any bytes were written.
+        """
         data = b"".join(self.lines)
         try:
             written = os.write(self.descriptor, data)
@@ -66,11 +77,11 @@
         rest = data[written:]
         if rest:
             self.lines.append(rest)
-        self.waiting_bytes = len(rest)
+        self.buffered_bytes = len(rest)
         return True
 
     def flush(self) -> None:
-        """Write what goes without waiting, at the end of the process."""
+        """Write what the descriptor accepts without blocking, when the process ends."""
         with suppress(OSError):
-            while self.lines and self._write_some():
+            while self.lines and self._write_available():
                 pass
--- a/src/ridgecourse/net/logs.py
+++ b/src/ridgecourse/net/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: ``logging`` with one JSON object a line on standard error."""
+"""Structured logs: one JSON object a line on standard error."""
 
 import logging
 import sys
@@ -10,7 +10,7 @@
 
 
 class JsonFormatter(logging.Formatter):
-    """Formats a record as a JSON object."""
+    """Formats a log record as a JSON object with the process and its failure domain."""
 
     def __init__(self, process: ProcessName, domain: DomainName) -> None:
         super().__init__()
@@ -18,7 +18,7 @@
         self.domain = domain
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the record as one line of JSON."""
+        """Return a log record as one line of JSON."""
         fields = {
             "wall": time(),
             "level": record.levelname.lower(),
@@ -33,11 +33,17 @@
 
 
 def set_up_logging(process: ProcessName, domain: DomainName, level: str) -> None:
-    """Send all logs of this process to standard error."""
+    """Send all logs of this process to standard error.
+
+    Args:
+        process: Name of the process.
+        domain: Failure domain of the process.
+        level: Name of the lowest level to log, in any case.
+    """
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(JsonFormatter(process, domain))
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.upper())
-    for noisy in ("urllib3", "websockets"):
-        logging.getLogger(noisy).setLevel(logging.ERROR)
+    for library in ("urllib3", "websockets"):
+        logging.getLogger(library).setLevel(logging.ERROR)
--- a/src/ridgecourse/net/loop_lag.py
+++ b/src/ridgecourse/net/loop_lag.py
@@ -1,4 +1,4 @@
-"""By how much the process's one thread is late for its timers."""
+"""Measures by how much the event loop of the process is late for its timers."""
 
 import eventlet
 
@@ -7,19 +7,19 @@
 from ridgecourse.net.figures import Figures
 from ridgecourse.net.threads import spawn_loop
 
-LOOK_SECONDS = 0.25
-"""Between two looks: four wake-ups a second, and a busy second does not go unseen."""
-LONGEST_LAG_SECONDS = 0.5
-"""What is reckoned with at most: a process that was later was frozen, and is late no
-more once it has woken."""
+SAMPLE_SECONDS = 0.25
+"""Interval between two samples: 4 wake-ups a second, enough to see a busy second."""
+MAX_LAG_SECONDS = 0.5
+"""Largest lag passed on to ``peak``. A larger lag means that the process was frozen; the
+process is not late for its timers after a freeze."""
 
 
 class LoopLag:
     """Measures the lag of the event loop.
 
     Attributes:
-        figures: Takes the lags, as ``loop_lag``.
-        peak: The largest one lately.
+        figures: Metrics that record the lags, as histogram "loop_lag".
+        peak: Recent peak of the lag.
     """
 
     def __init__(self, figures: Figures) -> None:
@@ -28,19 +28,19 @@
         self.thread: eventlet.greenthread.GreenThread | None = None
 
     def start(self) -> None:
-        """Begin to look."""
-        self.thread = spawn_loop(self._look)
+        """Start sampling."""
+        self.thread = spawn_loop(self._sample)
 
     def close(self) -> None:
-        """Stop."""
+        """Stop sampling."""
         if self.thread is not None:
             self.thread.kill()
 
-    def _look(self) -> None:
+    def _sample(self) -> None:
         while True:
-            due = boottime() + LOOK_SECONDS
-            eventlet.sleep(LOOK_SECONDS)
+            due = boottime() + SAMPLE_SECONDS
+            eventlet.sleep(SAMPLE_SECONDS)
             now = boottime()
             lag = max(0.0, now - due)
             self.figures.observe("loop_lag", lag)
-            self.peak.observe(min(lag, LONGEST_LAG_SECONDS), now)
+            self.peak.observe(min(lag, MAX_LAG_SECONDS), now)
--- a/src/ridgecourse/net/metrics.py
+++ b/src/ridgecourse/net/metrics.py
@@ -1,6 +1,6 @@
-"""Metrics by ``statsd``; without an address they cost nothing.
+"""Sends metrics over ``statsd``; without a configured address nothing is sent.
 
-Every name stands in ``Metric``, and docs/OPERATIONS.md lists them.
+``Metric`` contains the names of all metrics, and docs/OPERATIONS.md lists them.
 """
 
 from enum import Enum
@@ -14,7 +14,7 @@
 
 
 class Metric(Enum):
-    """The names of all metrics, below ``ridgecourse.PROCESS``."""
+    """The names of all metrics, with the prefix "ridgecourse.PROCESS"."""
 
     REQUESTS = "requests"
     COMPLETED = "requests.completed"
@@ -34,9 +34,13 @@
 
 
 def open_client(process: ProcessName, address: str) -> "StatsClient":
-    """Return a client that sends to an address.
+    """Return a statsd client.
 
-    Its library is imported here, since most processes send nothing.
+    The function imports the library itself, because most processes send no metrics.
+
+    Args:
+        process: Name of the process; part of the prefix of all metrics.
+        address: HOST:PORT of the statsd server.
     """
     from statsd import StatsClient
 
@@ -45,7 +49,11 @@
 
 
 class Metrics:
-    """Sends metrics over UDP."""
+    """Sends metrics over UDP.
+
+    Attributes:
+        client: The statsd client; None without a configured address.
+    """
 
     def __init__(self, process: ProcessName, address: str | None) -> None:
         self.client: StatsClient | None = None
@@ -53,7 +61,7 @@
             self.client = open_client(process, address)
 
     def count(self, metric: Metric, value: int = 1) -> None:
-        """Add to a counter."""
+        """Add a value to a counter."""
         if self.client is not None:
             self.client.incr(metric.value, value)
 
@@ -63,7 +71,7 @@
             self.client.gauge(metric.value, value)
 
     def time(self, metric: Metric, seconds: float) -> None:
-        """Record a span."""
+        """Record a duration."""
         if self.client is not None:
             self.client.timing(metric.value, seconds * 1000.0)
 
