--- a/src/ridgecourse/net/kept_connections.py
+++ b/src/ridgecourse/net/kept_connections.py
@@ -19,13 +19,13 @@
     Attributes:
         address: HOST:PORT of the process.
         source_address: Local address to connect from; None for any.
-        idle_connections: Open connections without a request in progress.
+        idle: Open connections without a request in progress.
     """
 
     def __init__(self, address: str, source_address: str | None = None) -> None:
         self.address = address
         self.source_address = None if source_address is None else (source_address, 0)
-        self.idle_connections: list[HTTPConnection] = []
+        self.idle: list[HTTPConnection] = []
 
     def get(self, path: str, timeout: float) -> tuple[int, bytes]:
         """Send a GET request and return status and body of the answer.
@@ -41,9 +41,9 @@
             NoConnection: Nothing was sent.
             ExchangeFailed: The request may have been received.
         """
-        while self.idle_connections:
+        while self.idle:
             with suppress(ConnectionError):
-                return self._exchange(self.idle_connections.pop(), path, timeout)
+                return self._exchange(self.idle.pop(), path, timeout)
         socket_address = parse_address(self.address)
         connection = HTTPConnection(
             socket_address.host, socket_address.port, source_address=self.source_address
@@ -81,5 +81,5 @@
             connection.close()
             raise ExchangeFailed(f"{self.address}: {error!r}") from error
         if connection.sock is not None:
-            self.idle_connections.append(connection)
+            self.idle.append(connection)
         return response.status, body
--- a/src/ridgecourse/net/loop_lag.py
+++ b/src/ridgecourse/net/loop_lag.py
@@ -10,8 +10,8 @@
 SAMPLE_SECONDS = 0.25
 """Interval between two samples: 4 wake-ups a second, enough to see a busy second."""
 MAX_LAG_SECONDS = 0.5
-"""Largest lag passed on to ``peak``. A larger lag means that the process was frozen; the
-process is not late for its timers after a freeze."""
+"""Largest lag passed on to ``peak``. A larger lag means that the process was frozen;
+after a freeze the timers are on time again."""
 
 
 class LoopLag:
--- a/src/ridgecourse/net/patch.py
+++ b/src/ridgecourse/net/patch.py
@@ -1,8 +1,8 @@
-"""Makes blocking calls cooperative; imported before anything else by a program.
+"""Applies eventlet's monkey patches; a program imports this module before others.
 
-Eventlet warns that it is deprecated. docs/design/runtime.md says why it is used
-all the same and what a successor would cost, so that the warning is not shown
-to operators.
+The patches make blocking calls cooperative. Eventlet warns that it is deprecated. The
+module hides the warning from operators, since docs/design/runtime.md explains why
+eventlet is used and what replacing it would cost.
 """
 
 import errno
@@ -18,10 +18,10 @@
 
 warnings.filterwarnings("ignore", message=r"\s*Eventlet is deprecated")
 
-# All addresses are numbers; the resolver takes a quarter of a second to import.
+# All hosts are numeric, so that the resolver is not needed; its import takes 0.25 s.
 os.environ["EVENTLET_NO_GREENDNS"] = "yes"
 
-# Eventlet needs asyncio for a hub of that kind alone.
+# Eventlet needs asyncio only for its asyncio hub.
 with deferred({"asyncio": ()}):
     import eventlet  # noqa: E402
 from eventlet import patcher  # noqa: E402
@@ -30,36 +30,39 @@
 
 
 @contextmanager
-def direct_conversion() -> Iterator[None]:
-    """Let ``eventlet.monkey_patch`` convert existing locks without a search.
+def direct_lock_conversion() -> Iterator[None]:
+    """Let ``eventlet.monkey_patch`` convert existing locks without its own traversal.
 
-    Eventlet looks for them through all that can be reached from any module, a third of
-    the processor time of a start. A handful exists, and the collector knows who holds
-    each.
+    Eventlet traverses all objects that are reachable from any module, which takes 1/3
+    of the processor time of a start. Only a handful of locks exists, and the garbage
+    collector can list the objects that refer to each lock.
     """
-    search = patcher._green_existing_locks
+    original_conversion = patcher._green_existing_locks
     patcher._green_existing_locks = convert_locks
     try:
         yield
     finally:
-        patcher._green_existing_locks = search
+        patcher._green_existing_locks = original_conversion
 
 
-def convert_locks(kind: type) -> None:
-    """Replace all locks of a kind by cooperative ones, wherever they are held.
+def convert_locks(lock_type: type) -> None:
+    """Replace all locks of a type by cooperative locks, wherever they are referenced.
 
     Args:
-        kind: The interpreter's own reentrant lock. It belongs to a system thread,
-            which all green threads share, and so keeps none of them out.
+        lock_type: Type of the interpreter's own reentrant lock. The owner of such a
+            lock is a system thread. All green threads share that thread, so that the
+            lock does not exclude any of them.
     """
-    locks = [found for found in gc.get_objects() if type(found) is kind]
-    replacements = {id(lock): make_cooperative() for lock in locks}
+    locks = [
+        candidate for candidate in gc.get_objects() if type(candidate) is lock_type
+    ]
+    replacements = {id(lock): make_cooperative_lock() for lock in locks}
     for holder in gc.get_referrers(*locks):
         if holder is not locks:
             replace_values(holder, replacements)
 
 
-def make_cooperative() -> Any:
+def make_cooperative_lock() -> Any:
     """Return a reentrant lock that lets other green threads run while one waits."""
     lock = threading._PyRLock()  # type: ignore[attr-defined]
     lock._block = allocate_lock()
@@ -67,7 +70,12 @@
 
 
 def replace_values(holder: Any, replacements: dict[int, Any]) -> None:
-    """Replace values of a dictionary, or of an object's attributes."""
+    """Replace values of a dictionary, or of the attributes of an object.
+
+    Args:
+        holder: The dictionary or object.
+        replacements: New values by the id of the value to replace.
+    """
     if isinstance(holder, dict):
         for name, value in list(holder.items()):
             if id(value) in replacements:
@@ -78,12 +86,12 @@
                 setattr(holder, name, replacements[id(value)])
 
 
-# Not subprocess: no program starts another one.
-with direct_conversion():
+# The subprocess module is not patched, because no program starts another one.
+with direct_lock_conversion():
     eventlet.monkey_patch(os=True, select=True, socket=True, thread=True, time=True)
 
-# What the libraries import for files, forms, schemas, proxies, HTTP/2, compression,
-# thread pools and pages of errors.
+# Modules that the libraries import for features that no program uses: files, forms,
+# schemas, proxies, HTTP/2, compression, thread pools and HTML error pages.
 with deferred(
     {
         "concurrent.futures": (),
@@ -116,6 +124,6 @@
     import websockets.sync.client  # noqa: E402, F401
     import websockets.sync.server  # noqa: E402, F401
 
-# Eventlet reads a reset connection as one that ended well. An answer without a
-# length ends with its connection, so that a reset one would look whole.
+# Eventlet treats a reset connection as an orderly end. An answer without a length ends
+# with its connection, so that a truncated answer would look complete.
 greenio_base.SOCKET_CLOSED.discard(errno.ECONNRESET)
--- a/src/ridgecourse/net/probe.py
+++ b/src/ridgecourse/net/probe.py
@@ -1,4 +1,4 @@
-"""Whether anything listens at an address."""
+"""Checks whether a process listens at an address."""
 
 from contextlib import suppress
 
@@ -8,17 +8,20 @@
 
 
 def refuses_connections(address: str, seconds: float) -> bool:
-    """Tell whether an address refuses connections: its process has ended.
+    """Check whether an address refuses connections, that is, its process has ended.
 
-    One that does not answer may be cut off, and one that takes a connection lives.
+    A process that does not answer may only be unreachable, and a process that accepts a
+    connection is running. Neither counts as a refusal.
 
     Args:
         address: HOST:PORT.
         seconds: Longest wait for an answer.
     """
-    where = parse_address(address)
+    socket_address = parse_address(address)
     try:
-        connection = socket.create_connection((where.host, where.port), seconds)
+        connection = socket.create_connection(
+            (socket_address.host, socket_address.port), seconds
+        )
     except ConnectionRefusedError:
         return True
     except OSError:
--- a/src/ridgecourse/net/process.py
+++ b/src/ridgecourse/net/process.py
@@ -1,4 +1,4 @@
-"""What every process of the system does alike: start, signals, end."""
+"""Life cycle of all processes of the system: start, signals, drain and close."""
 
 import logging
 import signal
@@ -20,47 +20,51 @@
 
     @abstractmethod
     def start(self) -> None:
-        """Open sockets and start working."""
+        """Open sockets and start serving."""
 
     @abstractmethod
     def drain(self) -> None:
-        """Take no new work and return once what was begun is finished."""
+        """Accept no new work and return when the work in progress is finished."""
 
     @abstractmethod
     def close(self) -> None:
-        """Release everything at once."""
+        """Release all resources without waiting for work in progress."""
 
     def reload(self) -> None:
-        """Take notice that the settings file may have changed (SIGHUP).
+        """Handle a possible change of the settings file (SIGHUP).
 
-        All settings are read at the start; what changed takes effect at the
-        next one, and nothing in progress is touched.
+        This implementation only logs: a process reads its settings when it starts, so
+        that changes take effect at the next start. Work in progress is not affected.
         """
-        logger.info("SIGHUP: settings are read at start and take effect then")
+        logger.info("SIGHUP ignored: changed settings take effect at the next start")
 
 
 def new_incarnation() -> Incarnation:
-    """Return the name of a new life of a process."""
+    """Return a unique id for a new incarnation of a process."""
     return Incarnation(uuid4().hex)
 
 
 def run_until_signal(process: Process) -> int:
     """Run a process until SIGTERM or SIGINT, then drain and close it.
 
-    SIGHUP would end a process that does not handle it.
+    SIGHUP is handled because it would otherwise end the process.
+
+    Returns:
+        The exit code: 0 after a signal, 1 if the process could not start.
     """
     stop = Signal()
 
-    def on_signal(number: int, frame: Any) -> None:
+    def on_signal(signal_number: int, frame: Any) -> None:
         if not stop.ready():
-            # Not from within the handler: it may interrupt the loop anywhere.
-            eventlet.spawn_after(0, send_once)
+            # The signal handler may interrupt the event loop anywhere, so that the
+            # event is sent from a green thread.
+            eventlet.spawn_after(0, request_stop)
 
-    def send_once() -> None:
+    def request_stop() -> None:
         if not stop.ready():
             stop.send(True)
 
-    def on_hangup(number: int, frame: Any) -> None:
+    def on_hangup(signal_number: int, frame: Any) -> None:
         eventlet.spawn_after(0, process.reload)
 
     signal.signal(signal.SIGHUP, on_hangup)
@@ -69,7 +73,7 @@
     try:
         process.start()
     except OSError as error:
-        logger.error("cannot start: %s", error)
+        logger.error("process cannot start: %s", error)
         return EXIT_FAILED
     stop.wait()
     process.drain()
--- a/src/ridgecourse/net/program.py
+++ b/src/ridgecourse/net/program.py
@@ -1,4 +1,4 @@
-"""Command line of a long-running process with settings of our own."""
+"""Command line of a long-running process with a settings file of this project."""
 
 import sys
 from argparse import ArgumentParser, Namespace
@@ -17,7 +17,12 @@
 
 
 def make_parser(program: str, description: str) -> ArgumentParser:
-    """Return the parser of a long-running process's arguments."""
+    """Return the command-line parser of a long-running process.
+
+    Args:
+        program: Name of the program.
+        description: Description of the program for the help text.
+    """
     parser = ArgumentParser(prog=program, description=description)
     parser.add_argument("settings", type=Path, help="settings file, JSON with comments")
     parser.add_argument(
@@ -29,20 +34,22 @@
 
 
 def run_process(
-    arguments: Namespace, kind: type[Settings], make: Callable[[Any], Process]
+    arguments: Namespace,
+    settings_type: type[Settings],
+    make_process: Callable[[Any], Process],
 ) -> int:
-    """Check the settings, run a process until it is told to stop.
+    """Check the settings and run a process until it gets a signal to stop.
 
     Args:
-        arguments: From ``make_parser``.
-        kind: The settings class.
-        make: Makes the process from its settings.
+        arguments: Parsed arguments of the parser from ``make_parser``.
+        settings_type: Class of the settings.
+        make_process: Creates the process from its settings.
 
     Returns:
-        The exit code: 0 after a planned stop, 1 if it could not start, 2 for
-        settings that do not fit.
+        The exit code: 0 after a planned stop, 1 if the process could not start, 2 if
+        the settings are invalid.
     """
-    loaded = load_settings(arguments.settings, kind)
+    loaded = load_settings(arguments.settings, settings_type)
     if isinstance(loaded, Failure):
         print(render_findings(loaded.failure()), file=sys.stderr)
         return EXIT_USAGE
@@ -51,4 +58,4 @@
         print(f"{arguments.settings}: ok")
         return EXIT_OK
     set_up_logging(settings.process, settings.domain, arguments.log_level)
-    return run_until_signal(make(settings))
+    return run_until_signal(make_process(settings))
--- a/src/ridgecourse/net/settings.py
+++ b/src/ridgecourse/net/settings.py
@@ -1,7 +1,7 @@
-"""Settings files: JSON with comments, checked as a whole.
+"""Reads settings files, written in JSON with comments, and checks them as a whole.
 
-Every finding names file, line and key and says what was expected; all are
-reported together.
+All problems of a file are reported together. Each problem names the file, the line, the
+key and the expected value.
 """
 
 from collections.abc import Iterator
@@ -26,50 +26,58 @@
 
 
 AddressText = Annotated[str, AfterValidator(_check_address)]
-"""Type of a settings value that is an address."""
+"""Type of a settings value that contains an address, HOST:PORT."""
 
 
 class Settings(BaseModel):
-    """Base of all settings: unknown keys are errors, values are not coerced."""
+    """Base class of all settings: unknown keys are errors, values are not coerced."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
-def load_settings(path: Path, kind: type[SettingsT]) -> Result[SettingsT, Findings]:
+def load_settings(
+    path: Path, settings_type: type[SettingsT]
+) -> Result[SettingsT, Findings]:
     """Read and check a settings file.
 
     Args:
         path: The file.
-        kind: The settings class it must fit.
+        settings_type: The settings class that the file must match.
 
     Returns:
-        The settings, or everything that is wrong with the file.
+        The settings, or all problems of the file.
     """
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         return Failure((Finding(str(path), f"cannot be read: {error}"),))
-    return parse_settings(text, str(path), kind)
+    return parse_settings(text, str(path), settings_type)
 
 
 def parse_settings(
-    text: str, name: str, kind: type[SettingsT]
+    text: str, name: str, settings_type: type[SettingsT]
 ) -> Result[SettingsT, Findings]:
-    """Check the text of a settings file; see ``load_settings``."""
+    """Parse and check the text of a settings file; see ``load_settings``.
+
+    Args:
+        text: The text.
+        name: Name of the file, for problems.
+        settings_type: The settings class that the text must match.
+    """
     try:
         model = loads(text, loader=ModelLoader())
-        raw = loads(text, loader=DefaultLoader())
+        values = loads(text, loader=DefaultLoader())
     except JSON5DecodeError as error:
         return Failure((Finding(name, f"is no JSON with comments: {error}"),))
     lines = dict(key_lines(model.value, ()))
     try:
-        return Success(kind.model_validate(raw))
+        return Success(settings_type.model_validate(values))
     except ValidationError as error:
         return Failure(tuple(describe_faults(error, name, lines)))
 
 
 def key_lines(node: Any, path: KeyPath) -> Iterator[tuple[KeyPath, int]]:
-    """Yield the line of every key and array element of a parsed file."""
+    """Yield the path and line number of each key and array element of a parsed file."""
     if hasattr(node, "keys") and hasattr(node, "values"):
         for key, value in zip(node.keys, node.values, strict=True):
             key_path = (*path, getattr(key, "characters", getattr(key, "name", "")))
@@ -84,21 +92,21 @@
 def describe_faults(
     error: ValidationError, name: str, lines: dict[KeyPath, int]
 ) -> Iterator[Finding]:
-    """Yield a finding for each fault, with its line and key."""
-    for fault in error.errors():
-        path: KeyPath = fault["loc"]
+    """Yield a problem for each validation error, with its line and key."""
+    for error_details in error.errors():
+        path: KeyPath = error_details["loc"]
         line = nearest_line(path, lines)
         key = ".".join(map(str, path)) or "(file)"
-        message = fault["msg"]
-        if fault["type"] == "extra_forbidden":
+        message = error_details["msg"]
+        if error_details["type"] == "extra_forbidden":
             message = "unknown key"
-        elif fault["type"] != "missing":
-            message = f"{message}, found {fault['input']!r}"
+        elif error_details["type"] != "missing":
+            message = f"{message}, found {error_details['input']!r}"
         yield Finding(f"{name}:{line}: {key}", message)
 
 
 def nearest_line(path: KeyPath, lines: dict[KeyPath, int]) -> int:
-    """Return the line of a key, or of what encloses it."""
+    """Return the line number of a key or of its nearest enclosing key; 1 for none."""
     for length in range(len(path), 0, -1):
         if path[:length] in lines:
             return lines[path[:length]]
--- a/src/ridgecourse/net/site_process.py
+++ b/src/ridgecourse/net/site_process.py
@@ -1,4 +1,4 @@
-"""A process of a platform, whose settings may change while it runs."""
+"""Base class of processes on a platform, with settings that may change at run time."""
 
 from abc import ABC, abstractmethod
 
@@ -11,21 +11,21 @@
 from ridgecourse.net.process import Process
 from ridgecourse.net.threads import spawn_loop
 
-POLL_SECONDS = 2.0
-"""Between two looks at the settings, which may change without a signal. Nothing in
-them binds a process to less."""
+SETTINGS_POLL_SECONDS = 2.0
+"""Interval between two checks of the settings, which may change without a signal. No
+setting has to take effect sooner."""
 
 
 class SettingsSource(ABC):
-    """Where a process's settings come from."""
+    """Source of the settings of a process."""
 
     @abstractmethod
     def changed(self) -> bool:
-        """Tell whether they differ from what was read last."""
+        """Check whether the settings differ from those that were last read."""
 
     @abstractmethod
     def read(self) -> Result[Site, Findings]:
-        """Return them, or everything that is wrong with them."""
+        """Return the settings, or all problems of the settings."""
 
 
 class SiteProcess(Process):
@@ -33,7 +33,9 @@
 
     Attributes:
         site: The settings in force.
-        settings: Where they are read anew; None if they never change.
+        events: The event stream of the process.
+        settings: Source of changed settings; None if the settings never change.
+        settings_thread: Polls the source; None without a source.
     """
 
     def __init__(self, site: Site, events: EventStream) -> None:
@@ -43,20 +45,20 @@
         self.settings_thread: eventlet.greenthread.GreenThread | None = None
 
     def watch_settings(self, settings: SettingsSource) -> None:
-        """Take in changes of the settings from now on."""
+        """Start to apply changes of the settings."""
         self.settings = settings
-        self.settings_thread = spawn_loop(self._watch)
+        self.settings_thread = spawn_loop(self._poll_settings)
 
-    def _watch(self) -> None:
+    def _poll_settings(self) -> None:
         while True:
-            eventlet.sleep(POLL_SECONDS)
+            eventlet.sleep(SETTINGS_POLL_SECONDS)
             self.reload()
 
     def reload(self) -> None:
-        """Take in what changed; nothing in progress is touched.
+        """Apply changed settings, without an effect on work in progress.
 
-        Settings that do not fit leave those in force. Of those that do, addresses
-        and the like take effect at the next start.
+        Invalid settings are reported, and the previous settings stay in force. Changed
+        addresses and similar settings take effect at the next start.
         """
         if self.settings is None or not self.settings.changed():
             return
@@ -71,4 +73,4 @@
 
     @abstractmethod
     def take_bounds(self) -> None:
-        """Use the operators' limits as they stand in the settings now."""
+        """Apply the limits that operators have set in the current settings."""
--- a/src/ridgecourse/net/threads.py
+++ b/src/ridgecourse/net/threads.py
@@ -1,4 +1,7 @@
-"""Green threads that must not die: a fault is logged and the work begun again."""
+"""Green threads that restart their function after an exception.
+
+The exception is logged, so that a fault in one loop does not stop the loop for good.
+"""
 
 import logging
 from collections.abc import Callable
@@ -10,26 +13,29 @@
 logger = logging.getLogger(__name__)
 
 RESTART_SECONDS = 1.0
+"""Pause between an exception and the restart."""
 
 
-def spawn_loop(work: Callable[..., Any], *arguments: Any) -> GreenThread:
-    """Run work that has no end; after a fault it is begun again.
+def spawn_loop(function: Callable[..., Any], *arguments: Any) -> GreenThread:
+    """Run an endless function in a green thread and restart it after an exception.
 
     Args:
-        work: What to run.
-        arguments: What to call it with.
+        function: The function to run. It is not restarted after it has returned.
+        arguments: Arguments of the function.
 
     Returns:
-        The green thread; its owner kills it when it closes.
+        The green thread. The caller must kill the thread when it closes.
     """
-    return eventlet.spawn(_keep_running, work, arguments)
+    return eventlet.spawn(_run_with_restarts, function, arguments)
 
 
-def _keep_running(work: Callable[..., Any], arguments: tuple[Any, ...]) -> None:
+def _run_with_restarts(
+    function: Callable[..., Any], arguments: tuple[Any, ...]
+) -> None:
     while True:
         try:
-            work(*arguments)
+            function(*arguments)
             return
         except Exception:
-            logger.exception("%s failed and is begun again", work.__qualname__)
+            logger.exception("%s failed and is restarted", function.__qualname__)
             eventlet.sleep(RESTART_SECONDS)
--- a/src/ridgecourse/net/usage.py
+++ b/src/ridgecourse/net/usage.py
@@ -1,4 +1,4 @@
-"""What this process has used of processor and memory."""
+"""Measures the processor time and memory used by this process."""
 
 from resource import RUSAGE_SELF, getrusage
 
@@ -11,8 +11,8 @@
     """Resources used since the process started.
 
     Attributes:
-        cpu_seconds: Processor time.
-        peak_bytes: Largest resident size.
+        cpu_seconds: Processor time, in user and system mode.
+        peak_bytes: Largest resident set size.
     """
 
     cpu_seconds: float
@@ -20,6 +20,6 @@
 
 
 def process_usage() -> Usage:
-    """Return the usage of this process."""
+    """Return the resource usage of this process."""
     used = getrusage(RUSAGE_SELF)
     return Usage(used.ru_utime + used.ru_stime, used.ru_maxrss * KIBIBYTE)
--- a/src/ridgecourse/net/websocket.py
+++ b/src/ridgecourse/net/websocket.py
@@ -1,4 +1,4 @@
-"""Control connections: typed CBOR messages over websockets."""
+"""Control connections between processes: typed CBOR messages over websockets."""
 
 import logging
 from collections.abc import Callable, Iterator
@@ -21,19 +21,20 @@
 
 CONTROL_PATH = "/control"
 KEEPALIVE_SECONDS = 5.0
-OPEN_SECONDS = 2.0
+OPEN_TIMEOUT_SECONDS = 2.0
 
 
 class ChannelClosed(Exception):
-    """The connection is gone, or sent what is no message."""
+    """The connection has ended, or received an invalid message."""
 
 
 class ControlChannel:
     """One control connection.
 
     Attributes:
-        sent: Bytes of messages sent.
-        received: Bytes of messages received.
+        connection: The websocket.
+        sent: Total size of the messages sent, in bytes.
+        received: Total size of the messages received, in bytes.
     """
 
     def __init__(self, connection: Connection) -> None:
@@ -45,7 +46,7 @@
         """Send a message.
 
         Raises:
-            ChannelClosed: The connection is gone.
+            ChannelClosed: The connection has ended.
         """
         data = encode_message(message)
         self.sent += len(data)
@@ -55,15 +56,15 @@
             raise ChannelClosed(str(error)) from error
 
     def receive(self, expected: Any, timeout: float | None = None) -> Any:
-        """Return the next message, or None when the time is up.
+        """Return the next message, or None after a timeout.
 
         Args:
             expected: The message class, or a union of them.
-            timeout: Longest wait in seconds.
+            timeout: Longest wait in seconds; None for no limit.
 
         Raises:
-            ChannelClosed: The connection is gone, or what came is no message
-                of an expected type; then it is closed.
+            ChannelClosed: The connection has ended, or the received message is not
+                of an expected type. In the latter case the channel is closed.
         """
         try:
             data = self.connection.recv(timeout)
@@ -79,40 +80,44 @@
         return decoded.unwrap()
 
     def decode(self, data: bytes | str, expected: Any) -> Result[Any, DecodeFailure]:
-        """Decode what came in; text is no message."""
+        """Decode received data; a text frame is not a valid message."""
         if isinstance(data, str):
             return Failure(DecodeFailure("text, expected CBOR"))
         return decode_message(data, expected)
 
     def messages(self, expected: Any) -> Iterator[Any]:
-        """Yield messages until the connection is gone."""
+        """Yield messages until the connection ends.
+
+        Raises:
+            ChannelClosed: The connection has ended; see ``receive``.
+        """
         while True:
             yield self.receive(expected)
 
     def close(self) -> None:
-        """Close the connection without waiting for the other side."""
+        """Close the connection, waiting at most 0.2 s for the peer."""
         with suppress(Exception):
             self.connection.close_timeout = 0.2
             self.connection.close()
 
 
 def open_channel(address: str, key: str, source: str | None = None) -> ControlChannel:
-    """Connect to a process's control server.
+    """Connect to the control server of a process.
 
     Args:
         address: HOST:PORT.
-        key: The key shared by the processes of the system.
+        key: The key shared by the processes of the system; may be empty.
         source: Local address to connect from; None for any.
 
     Raises:
-        ChannelClosed: No connection could be made, or it was refused.
+        ChannelClosed: The connection could not be opened, or the server refused it.
     """
     header = sign_request(key, "GET", CONTROL_PATH)
     try:
         connection = connect(
             f"ws://{address}{CONTROL_PATH}",
             additional_headers={AUTH_HEADER: header},
-            open_timeout=OPEN_SECONDS,
+            open_timeout=OPEN_TIMEOUT_SECONDS,
             ping_interval=KEEPALIVE_SECONDS,
             ping_timeout=KEEPALIVE_SECONDS,
             close_timeout=0.5,
@@ -130,7 +135,12 @@
     """Accepts control connections.
 
     Attributes:
-        address: Where it listens; the port is the real one after ``start``.
+        address: Address to listen on; after ``start`` with the port that the system
+            has assigned.
+        key: The key shared by the processes of the system.
+        handler: Called in a green thread for each accepted connection.
+        refused: Number of connections refused for lack of a valid signature.
+        channels: Open connections.
     """
 
     def __init__(
@@ -145,17 +155,17 @@
         self.thread: Any = None
 
     def start(self) -> None:
-        """Listen and begin to accept.
+        """Listen and start accepting connections.
 
         Raises:
-            OSError: The address cannot be listened on.
+            OSError: The server cannot listen on the address.
         """
         self.server = serve(
-            self._serve,
+            self._handle_connection,
             self.address.host,
             self.address.port,
-            process_request=self._check,
-            open_timeout=OPEN_SECONDS,
+            process_request=self._authenticate,
+            open_timeout=OPEN_TIMEOUT_SECONDS,
             ping_interval=KEEPALIVE_SECONDS,
             ping_timeout=KEEPALIVE_SECONDS,
             close_timeout=0.5,
@@ -165,14 +175,14 @@
         self.address = Address(*self.server.socket.getsockname()[:2])
         self.thread = eventlet.spawn(self.server.serve_forever)
 
-    def _check(self, connection: ServerConnection, request: Any) -> Any:
+    def _authenticate(self, connection: ServerConnection, request: Any) -> Any:
         header = request.headers.get(AUTH_HEADER, "")
         if verify_request(self.key, header, "GET", request.path):
             return None
         self.refused += 1
         return connection.respond(401, "no valid proof of the shared key\n")
 
-    def _serve(self, connection: ServerConnection) -> None:
+    def _handle_connection(self, connection: ServerConnection) -> None:
         channel = ControlChannel(connection)
         self.channels.add(channel)
         try:
