--- a/src/ridgecourse/net/events.py
+++ b/src/ridgecourse/net/events.py
@@ -136,7 +136,7 @@
         clock: The Lamport clock of the process.
         seq: Position of the next event in the stream.
         figures: Metrics of the process; they count all events, written or not.
-        second: The current second, for the limit on events on requests.
+        current_second: The current second, for the limit on events on requests.
         request_events_in_second: Events on requests in the current second.
         suppressed: Events that were counted but not written, by kind.
     """
@@ -152,7 +152,7 @@
         self.domain = domain
         self.output = LineWriter()
         self.figures = Figures()
-        self.second = 0
+        self.current_second = 0
         self.request_events_in_second = 0
         self.suppressed: Counter[str] = Counter()
         self.clock = 0
@@ -207,8 +207,8 @@
         suppressed events and dropped lines since the last check.
         """
         second = int(boottime())
-        if second != self.second:
-            self.second = second
+        if second != self.current_second:
+            self.current_second = second
             self.request_events_in_second = 0
             dropped, self.output.dropped = self.output.dropped, 0
             counts, self.suppressed = self.suppressed, Counter()
--- a/src/ridgecourse/net/figures.py
+++ b/src/ridgecourse/net/figures.py
@@ -25,17 +25,17 @@
     Attributes:
         counts: Number of durations in each bucket; the last entry counts those
             above the highest bound.
-        total: Sum of all durations, in seconds.
+        total_seconds: Sum of all durations, in seconds.
     """
 
     def __init__(self) -> None:
         self.counts = [0] * (len(BUCKET_BOUNDS) + 1)
-        self.total = 0.0
+        self.total_seconds = 0.0
 
     def observe(self, seconds: float) -> None:
         """Record a duration."""
         self.counts[bisect_left(BUCKET_BOUNDS, seconds)] += 1
-        self.total += seconds
+        self.total_seconds += seconds
 
 
 class Figures:
@@ -71,7 +71,7 @@
                 yield f'ridgecourse_{name}_seconds_bucket{{le="{bound}"}} {cumulative}'
             total_count = sum(histogram.counts)
             yield f'ridgecourse_{name}_seconds_bucket{{le="+Inf"}} {total_count}'
-            yield f"ridgecourse_{name}_seconds_sum {histogram.total:.6f}"
+            yield f"ridgecourse_{name}_seconds_sum {histogram.total_seconds:.6f}"
             yield f"ridgecourse_{name}_seconds_count {total_count}"
 
     def serve(self, request: HttpRequest) -> HttpReply:
--- a/src/ridgecourse/net/http_server.py
+++ b/src/ridgecourse/net/http_server.py
@@ -156,7 +156,7 @@
 
     def answer(self, request: HttpRequest) -> HttpReply:
         """Return the reply to a request, with an error status if the handler raises."""
-        handler = self.find(request)
+        handler = self.find_handler(request)
         if handler is None:
             return HttpReply(404, b"no such path\n")
         try:
@@ -169,7 +169,7 @@
             logger.exception("handler of %s %s failed", request.method, request.path)
             return HttpReply(500, b"internal error\n")
 
-    def find(self, request: HttpRequest) -> Handler | None:
+    def find_handler(self, request: HttpRequest) -> Handler | None:
         """Return the handler with the longest matching prefix, or None."""
         longest_match: tuple[int, Handler] | None = None
         for method, prefix, handler in self.routes:
--- a/src/ridgecourse/net/program.py
+++ b/src/ridgecourse/net/program.py
@@ -1,4 +1,4 @@
-"""Command line of a long-running process with a settings file of this project."""
+"""Command line of a long-running process with settings in our own format."""
 
 import sys
 from argparse import ArgumentParser, Namespace
--- a/src/ridgecourse/net/record_follower.py
+++ b/src/ridgecourse/net/record_follower.py
@@ -1,4 +1,8 @@
-"""Follows a topic of the platform's store through its outages."""
+"""Follows a topic of the store of the platform, also through outages of the store.
+
+A follower that is behind skips to the newest record of each key, because only the
+current state matters, and reads the skipped records later if it has to.
+"""
 
 from collections.abc import Callable
 from random import random
@@ -20,40 +24,44 @@
 from ridgecourse.net.threads import spawn_loop
 
 FIRST_RETRY_SECONDS = 0.1
-LONGEST_RETRY_SECONDS = 0.6
-"""Between two tries while the store is away; a bound of two seconds must hold
-soon after it is back."""
+MAX_RETRY_SECONDS = 0.6
+"""Longest pause between two retries while the store is unavailable. Soon after the
+store is available again, a time limit of 2 s must hold."""
 
-LONGEST_YIELD_SECONDS = 1.0
-"""For which a link is left to others at most. Where answers take that long, decisions
-are to be in force in 3 s and more."""
+MAX_LINK_YIELD_SECONDS = 1.0
+"""Longest pause in which a follower leaves its link to other readers. Where answers
+take that long, the time limit for a decision to be in force is 3 s or more."""
 
 LONG_ANSWER_SECONDS = 0.1
-"""From which on the way of an answer matters: others wait for it or for their link."""
+"""Transfer time from which an answer counts as slow: it delays other processes, which
+wait for the answer or for the link."""
 
-LATE_ANSWER_SECONDS = 0.8
-"""Age of what was heard from which on the next read does not wait: those who read from
-here would take it for out of date, though nothing is newer."""
+STALE_SECONDS = 0.8
+"""Age of the confirmed data above which the next read does not wait. Downstream readers
+would otherwise treat the data as outdated, though the store has nothing newer."""
 
 DECISION_WAIT_SECONDS = 0.4
-"""Longest wait of one read of the store for an operator's decision. A waiting read can
-miss a record, and a connection that died unseen is noticed only after it. With twice a
-slow store's 0.35 s it leaves what is heard fresh enough for others to rely on; with
-0.6 s a domain of seven processes left its reader 65 times in 6 s."""
+"""Longest wait of one store read for a decision of an operator. A waiting read can miss
+a record, and a lost connection is detected only at the end of the wait. Together with 2
+times the 0.35 s of a slow store, the wait keeps the data fresh enough for downstream
+readers. With 0.6 s, the 7 processes of a domain abandoned their upstream reader 65
+times in 6 s."""
 TARGETS_PAUSE_SECONDS = 0.6
-"""Between two reads of the list by the one that reads it for a domain: heartbeats would
-end a waiting read ten times a second. A leaving target may get requests for 2 s more.
-Those below ask with a wait; if the one above is frozen they notice it 1.1 s after it
-last heard of the store, and read it themselves then."""
+"""Pause between two reads of the target list by the process that reads it for a domain:
+heartbeats would end a waiting read 10 times a second. A leaving target may receive
+requests for 2 s more. Downstream processes use waiting reads. If the upstream process
+is frozen, they detect it 1.1 s after its last confirmation by the store, and then read
+the store themselves."""
 
 
 class ReadPace(NamedTuple):
-    """How often a process reads, in seconds.
+    """Waits and pauses of the reads of a process, in seconds.
 
     Attributes:
         decision_wait: Longest wait of one read for a decision.
-        targets_pause: Between two reads of the list of targets from the store.
-        told_pause: The same from another process, which waits for news itself.
+        targets_pause: Pause between two reads of the target list from the store.
+        told_pause: Pause between two reads of the target list from another process,
+            which itself waits for new records before it answers.
     """
 
     decision_wait: float = DECISION_WAIT_SECONDS
@@ -65,37 +73,45 @@
 
 
 class SkippedRange(NamedTuple):
-    """Records that were passed over.
+    """A range of records that were skipped and are still to be read.
 
     Attributes:
-        start: Offset of the first.
-        end: Offset behind the last.
-        since: Before when none of them was written.
+        start: Offset of the first record.
+        end: Offset after the last record.
+        earliest_written_at: Time before which none of the records was written.
     """
 
     start: Offset
     end: Offset
-    since: Seconds
+    earliest_written_at: Seconds
 
 
 class RecordFollower:
-    """Reads a topic from its newest records on.
+    """Reads a topic, starting with its newest records.
 
     Attributes:
-        misses_none: Whether records that were passed over are read later.
-        skipped: Those that are still to be read.
-        topic: What is followed.
+        source: Source of the records.
+        topic: The topic to follow.
         wait: Longest wait of a read for a first record, in seconds.
-        pause: Between two reads, in seconds.
-        told_pause: The same after an answer of another process, which waits for news
-            itself; None for the same.
-        offset: Where to read next; None before the first read.
-        behind: Whether the topic grows faster than it can be read.
-        known_end: End of the topic, as far as the last answer told.
-        lost_since: When the store could last be read, while it cannot.
-        heard_at: When the store last told that there is nothing newer; 0 for never.
-        unheard: Seconds between that and when the last answer was there: a record of
-            that answer may be that old.
+        pause: Pause between two reads, in seconds.
+        told_pause: Pause after an answer of another process, which itself waits for new
+            records; None to use ``pause``.
+        apply_batch: Called with each batch, and with whether the batch is a full read
+            of the newest record of each key.
+        on_outage_end: Called after an outage of the store with its duration in seconds.
+        events: The event stream of the process.
+        misses_none: Whether skipped records are read later.
+        skipped: Skipped records that are still to be read; None for none.
+        offset: Offset of the next read; None to read the newest records.
+        is_behind: Whether the topic grows faster than the follower can read it.
+        known_end: End of the topic at the time of the last answer.
+        lost_since: Time of the first failed read of the current outage; None while the
+            store is available.
+        heard_at: Last time at which the store confirmed that there is nothing newer; 0
+            for never.
+        unheard: Seconds from the confirmation before the last answer to the arrival of
+            that answer: the largest possible age of a record in the answer.
+        failures: Number of consecutive failed reads.
     """
 
     def __init__(
@@ -104,8 +120,8 @@
         topic: Topic,
         wait: float,
         pause: float,
-        take: Callable[[RecordBatch, bool], None],
-        outage_ended: Callable[[float], None],
+        apply_batch: Callable[[RecordBatch, bool], None],
+        on_outage_end: Callable[[float], None],
         events: EventStream,
         misses_none: bool = False,
         told_pause: float | None = None,
@@ -115,13 +131,13 @@
         self.wait = wait
         self.pause = pause
         self.told_pause = told_pause
-        self.take = take
-        self.outage_ended = outage_ended
+        self.apply_batch = apply_batch
+        self.on_outage_end = on_outage_end
         self.events = events
         self.misses_none = misses_none
         self.skipped: SkippedRange | None = None
         self.offset: Offset | None = None
-        self.behind = False
+        self.is_behind = False
         self.known_end = 0
         self.lost_since: Seconds | None = None
         self.heard_at = Seconds(0.0)
@@ -130,7 +146,7 @@
         self.thread: eventlet.greenthread.GreenThread | None = None
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start reading."""
         self.thread = spawn_loop(self._run)
 
     def close(self) -> None:
@@ -140,14 +156,14 @@
             self.thread = None
 
     def restart(self) -> None:
-        """Give up a read that waits: its connection may have died unseen."""
+        """Restart, aborting a waiting read whose connection may be lost."""
         self.close()
         self.start()
 
     def _run(self) -> None:
         while True:
             try:
-                batch, whole = self._read()
+                batch, is_full_read = self._read()
             except RecordsGone as error:
                 self.events.emit(
                     EventKind.RECORDS_GONE, topic=self.topic.value, error=str(error)
@@ -155,49 +171,55 @@
                 self.offset = None
                 continue
             except SourceUnavailable as error:
-                self._note_loss(error)
+                self._record_failure(error)
                 eventlet.sleep(self._retry_wait())
                 continue
-            self._note_answer(batch)
-            self._note_skipped(batch, whole)
+            self._record_answer(batch)
+            self._record_skipped(batch, is_full_read)
             if not batch.behind:
                 self.heard_at = max(self.heard_at, batch.heard_at)
-            # Who is behind needs what holds now, not all that held in between.
-            self.behind = self._is_behind(batch, whole)
-            self.offset = None if self.behind else self._next_offset(batch)
-            self.take(batch, whole)
-            if not whole and not batch.records:
+            # A follower that is behind needs the current records, not all records in
+            # between.
+            self.is_behind = self._check_behind(batch, is_full_read)
+            self.offset = None if self.is_behind else self._next_offset(batch)
+            self.apply_batch(batch, is_full_read)
+            if not is_full_read and not batch.records:
                 self._read_skipped()
             eventlet.sleep(self._pause_after(batch))
 
-    def _is_behind(self, batch: RecordBatch, whole: bool) -> bool:
-        """Tell whether there is more than was read, or was still coming just now.
+    def _check_behind(self, batch: RecordBatch, is_full_read: bool) -> bool:
+        """Check whether the topic has unread records, or still grew in a slow full read.
+
+        While many records arrive, reading each of them is wasted work: in a burst of
+        large configurations, each record took as long as the current configuration.
 
-        A record that is one of many to come is read for nothing: in a storm of large
-        configurations each took as long as what holds did.
+        Args:
+            batch: The last answer.
+            is_full_read: Whether the answer has the newest record of each key.
         """
         end = batch.end + batch.behind
-        moved, self.known_end = end != self.known_end, end
-        if whole:
-            return self.behind and moved and batch.took >= LONG_ANSWER_SECONDS
+        has_grown, self.known_end = end != self.known_end, end
+        if is_full_read:
+            return self.is_behind and has_grown and batch.took >= LONG_ANSWER_SECONDS
         return batch.behind > 0
 
     def _pause_after(self, batch: RecordBatch) -> float:
-        """Return how long to wait before the next read.
+        """Return the pause before the next read, in seconds.
 
-        A link that answers take long to cross is left to others for as long as the
-        last one took: in a storm of large configurations a reader filled it alone.
+        After a slow transfer the follower leaves the link to other readers for as long
+        as the transfer took: in a burst of large configurations a single reader used
+        the entire capacity of the link.
         """
         pause = self.pause
-        if self.behind:
+        if self.is_behind:
             pause = 0.0
         elif batch.told and self.told_pause is not None:
             pause = self.told_pause
-        return max(pause, min(LONGEST_YIELD_SECONDS, batch.took))
+        return max(pause, min(MAX_LINK_YIELD_SECONDS, batch.took))
 
-    def _note_skipped(self, batch: RecordBatch, whole: bool) -> None:
-        """Note what is passed over: up to where the newest records were read."""
-        if whole and self.skipped:
+    def _record_skipped(self, batch: RecordBatch, is_full_read: bool) -> None:
+        """Record the range of skipped records, up to the end of the newest records."""
+        if is_full_read and self.skipped:
             self.skipped = self.skipped._replace(end=batch.end)
         if batch.passed_from is not None and self.misses_none:
             start = self.skipped.start if self.skipped else batch.passed_from
@@ -208,9 +230,9 @@
             self.skipped = skipped._replace(end=end)
 
     def _read_skipped(self) -> None:
-        """Read some of what was passed over, now that nothing new comes.
+        """Read some skipped records while no new records arrive.
 
-        A record passed over may be a higher revision than the newest of its key.
+        A skipped record may have a higher revision than the newest record of its key.
         """
         if self.skipped is None:
             return
@@ -223,14 +245,14 @@
             self.skipped = None
             return
         except SourceUnavailable:
-            # Asked for again after the next read that brings nothing new.
+            # The read is repeated after the next read without new records.
             self.events.figures.count("skipped_unread")
             return
-        since = self.skipped.since
-        past = not batch.records or batch.end >= self.skipped.end
-        self.skipped = None if past else self.skipped._replace(start=batch.end)
-        # Taken as behind, for it tells nothing of what holds now.
-        self.take(replace(batch, behind=1, since=since), False)
+        since = self.skipped.earliest_written_at
+        is_caught_up = not batch.records or batch.end >= self.skipped.end
+        self.skipped = None if is_caught_up else self.skipped._replace(start=batch.end)
+        # The batch is marked as behind, because it does not show the current state.
+        self.apply_batch(replace(batch, behind=1, since=since), False)
 
     def _next_offset(self, batch: RecordBatch) -> Offset:
         return batch.end if self.offset is None else max(self.offset, batch.end)
@@ -238,17 +260,17 @@
     def _read(self) -> tuple[RecordBatch, bool]:
         if self.offset is None:
             return self.source.newest(self.topic), True
-        # A read that waits would tell only at its end that the store is back, or that
-        # nothing is newer than what was long on its way.
-        late = boottime() - self.heard_at > LATE_ANSWER_SECONDS
-        wait = 0.0 if late or self.lost_since is not None else self.wait
+        # A waiting read would report only at its end that the store is available again,
+        # or that nothing is newer than an answer with a slow transfer.
+        is_stale = boottime() - self.heard_at > STALE_SECONDS
+        wait = 0.0 if is_stale or self.lost_since is not None else self.wait
         return self.source.read(self.topic, self.offset, wait), False
 
     def _retry_wait(self) -> float:
         wait = FIRST_RETRY_SECONDS * 2.0 ** min(self.failures, 8)
-        return min(LONGEST_RETRY_SECONDS, wait) * (0.5 + random() / 2)
+        return min(MAX_RETRY_SECONDS, wait) * (0.5 + random() / 2)
 
-    def _note_loss(self, error: SourceUnavailable) -> None:
+    def _record_failure(self, error: SourceUnavailable) -> None:
         self.failures += 1
         self.events.figures.count(f"read_failed_{self.topic.value}")
         if self.lost_since is None:
@@ -257,11 +279,11 @@
                 EventKind.LOG_LOST, topic=self.topic.value, error=str(error)
             )
 
-    def _note_answer(self, batch: RecordBatch) -> None:
+    def _record_answer(self, batch: RecordBatch) -> None:
         self.failures = 0
         now = boottime()
         self.unheard = now - self.heard_at if self.heard_at else 0.0
         if self.lost_since is not None:
-            away = now - self.lost_since
+            outage_seconds = now - self.lost_since
             self.lost_since = None
-            self.outage_ended(away)
+            self.on_outage_end(outage_seconds)
--- a/src/ridgecourse/net/record_source.py
+++ b/src/ridgecourse/net/record_source.py
@@ -1,4 +1,4 @@
-"""Keyed records of the platform's store, as the system sees them."""
+"""Interface to the keyed records of the store of the platform."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -12,10 +12,11 @@
 class Topic(Enum):
     """Streams of records that the system reads.
 
-    DECISIONS: What operators decided: configurations and versions of weights.
-    TARGETS: The list of targets.
-    KEPT: Decisions that the system keeps itself; see ``cluster.keeper``.
-    BLOCKED: Requests that are not sent; see ``gateway.blocked_requests``.
+    Attributes:
+        DECISIONS: Decisions of operators: configurations and versions of weights.
+        TARGETS: The list of targets.
+        KEPT: Decisions that the system pins itself; see ``cluster.keeper``.
+        BLOCKED: Requests that are not sent; see ``gateway.blocked_requests``.
     """
 
     DECISIONS = "decisions"
@@ -25,13 +26,14 @@
 
 
 class KeyedRecord(Struct, frozen=True):
-    """A record.
+    """A record of a topic; it replaces earlier records of its key.
 
     Attributes:
-        key: What it is about.
-        value: What holds from now on; empty where the key was dropped.
-        offset: Its position.
-        broken: Why it cannot be read, which leaves it without value; empty if it can.
+        key: Name of the object that the record describes.
+        value: The new value; empty if the key was removed.
+        offset: Position of the record in the topic.
+        broken: Reason why the record cannot be decoded; the value is then empty. Empty
+            for a valid record.
     """
 
     key: str
@@ -41,24 +43,26 @@
 
 
 class RecordBatch(Struct, frozen=True):
-    """Records that were read together.
+    """Records from one read, and the state of the topic at the time of the read.
 
     Attributes:
-        records: In order of their offsets.
-        end: Where to go on reading.
-        heard_at: When the store told this at the earliest; see ``core.hearing``.
-        behind: Records beyond that which are there already.
-        since: Before when none of the records was written, as is known; None if that
-            is when the store was last heard of.
-        told: Whether another process told them, once it had news or had waited.
-        took: Seconds for which the answer was on its way, from its first piece on.
-        kept: Seconds for which removals are not believed there, after an outage of
-            the store.
-        read_at: When the newest record was first read from the store, here or by
-            whoever read it for this process.
-        level: Processes that told it on since.
-        passed_from: The first of the records that were passed over for the newest ones;
-            None for none.
+        records: The records, in order of their offsets.
+        end: Offset at which to continue reading.
+        heard_at: Earliest time at which the store may have written the answer; see
+            ``core.hearing``.
+        behind: Number of records in the topic after ``end``.
+        since: Time before which none of the records was written. None stands for the
+            last time at which the store confirmed the data without these records.
+        told: Whether another process sent the records. It answers when it has new
+            records or its wait is over.
+        took: Transfer time of the answer in seconds, from its first piece on.
+        kept: Seconds for which the sending process still ignores removals, after an
+            outage of the store.
+        read_at: Time at which the newest record was first read from the store, by this
+            process or by the process that read it for this one.
+        level: Number of processes that have forwarded the newest record.
+        passed_from: Offset of the first record that was skipped in favour of the
+            newest records; None if none was skipped.
     """
 
     records: Sequence[KeyedRecord]
@@ -75,19 +79,19 @@
 
 
 class SourceUnavailable(Exception):
-    """The store gave no usable answer."""
+    """The store or another process gave no usable answer."""
 
 
 class RecordsGone(Exception):
-    """The records asked for are no longer kept."""
+    """The store has dropped the requested records."""
 
 
 class TopicGrown(Exception):
-    """A conditional write was not done: the topic ends elsewhere by now."""
+    """A conditional write failed because other records were appended before it."""
 
 
 class RecordSource(ABC):
-    """Reads records."""
+    """Reads and appends records of the store."""
 
     @abstractmethod
     def newest(self, topic: Topic) -> RecordBatch:
@@ -102,27 +106,35 @@
         """Return the records from an offset on.
 
         Args:
-            topic: The stream.
-            start: The first offset wanted.
+            topic: The stream to read.
+            start: Offset of the first record to return.
             wait: Longest wait for a first record, in seconds.
 
         Raises:
-            RecordsGone: They are no longer kept; ``newest`` has what holds.
+            RecordsGone: The store has dropped the records; ``newest`` returns the
+                current record of each key.
             SourceUnavailable: The store gave no usable answer.
         """
 
     def is_receiving(self, topic: Topic) -> bool:
-        """Tell whether an answer of the store is on its way here, piece by piece."""
+        """Check whether this process is receiving an answer of the store."""
         return False
 
     @abstractmethod
     def append(self, topic: Topic, key: str, value: bytes, end: Offset) -> None:
-        """Write a record of the system's own, if the topic still ends there.
+        """Append a record of the system itself, if the topic still ends at an offset.
+
+        The store may perform an unanswered write seconds later. The condition prevents
+        such a write from replacing records that were written in between.
 
-        A write without an answer may be done seconds later. The condition keeps it
-        from replacing what was written in between.
+        Args:
+            topic: The stream to append to.
+            key: Key of the record.
+            value: Value of the record.
+            end: Expected end of the topic.
 
         Raises:
-            TopicGrown: The topic has other records by now; nothing was written.
-            SourceUnavailable: It may or may not be written, now or later.
+            TopicGrown: The topic has further records; nothing was written.
+            SourceUnavailable: The store gave no usable answer; the record may or may
+                not be written, at once or later.
         """
--- a/src/ridgecourse/net/settings.py
+++ b/src/ridgecourse/net/settings.py
@@ -73,7 +73,7 @@
     try:
         return Success(settings_type.model_validate(values))
     except ValidationError as error:
-        return Failure(tuple(describe_faults(error, name, lines)))
+        return Failure(tuple(describe_problems(error, name, lines)))
 
 
 def key_lines(node: Any, path: KeyPath) -> Iterator[tuple[KeyPath, int]]:
@@ -89,7 +89,7 @@
             yield from key_lines(value, (*path, index))
 
 
-def describe_faults(
+def describe_problems(
     error: ValidationError, name: str, lines: dict[KeyPath, int]
 ) -> Iterator[Finding]:
     """Yield a problem for each validation error, with its line and key."""
--- a/src/ridgecourse/net/websocket.py
+++ b/src/ridgecourse/net/websocket.py
@@ -33,8 +33,8 @@
 
     Attributes:
         connection: The websocket.
-        sent: Total size of the messages sent, in bytes.
-        received: Total size of the messages received, in bytes.
+        sent: Bytes of messages sent since the counter was last reset.
+        received: Bytes of messages received since the counter was last reset.
     """
 
     def __init__(self, connection: Connection) -> None:
