--- a/src/ridgecourse/net/config_store.py
+++ b/src/ridgecourse/net/config_store.py
@@ -45,10 +45,10 @@
 
     Attributes:
         state: The configuration.
-        known: Whether the state is known to match an offset of the log. The empty
+        is_known: Whether the state is known to match an offset of the log. The empty
             state of a process that has just started does not match one.
         checkpoint: Notice of the newest checkpoint; None before the first one.
-        recent: The newest records, encoded, up to ``offset``.
+        recent_records: The newest records, encoded, up to ``offset``.
         changed: Notified when the state has changed.
     """
 
--- a/src/ridgecourse/net/datagrams.py
+++ b/src/ridgecourse/net/datagrams.py
@@ -49,7 +49,7 @@
     Attributes:
         address: Address that the socket is bound to; after ``start`` with the port
             that the system has assigned.
-        refused: Number of received datagrams that were not a message of an expected
+        rejected: Number of received datagrams that were not a message of an expected
             type.
         socket: The socket; None before ``start``.
     """
--- a/src/ridgecourse/net/events.py
+++ b/src/ridgecourse/net/events.py
@@ -135,7 +135,7 @@
     Attributes:
         clock: The Lamport clock of the process.
         seq: Position of the next event in the stream.
-        figures: Metrics of the process; they count all events, written or not.
+        metrics: Metrics of the process; they count all events, written or not.
         current_second: The current second, for the limit on events on requests.
         request_events_in_second: Events on requests in the current second.
         suppressed: Events that were counted but not written, by kind.
--- a/src/ridgecourse/net/exchange.py
+++ b/src/ridgecourse/net/exchange.py
@@ -93,10 +93,10 @@
             body: Body of the request; None for none.
 
         Raises:
-            TooLate: The deadline has passed.
-            Disconnected: The connection failed; a part of the request may have
+            ExchangeTimeout: The deadline has passed.
+            TargetDisconnected: The connection failed; a part of the request may have
                 arrived.
-            Broken: The request is malformed and cannot be written.
+            ExchangeBroken: The request is malformed and cannot be written.
         """
         fields = HTTPHeaderDict(headers)
         for name in ("User-Agent", "Accept-Encoding", "Host"):
@@ -124,10 +124,10 @@
             head_deadline: Time by which the answer must begin, if before the deadline.
 
         Raises:
-            TooLate: The head was not received by the deadline.
-            Disconnected: The connection ended.
-            Broken: The received bytes are not a valid answer, or the answer did not
-                begin by ``head_deadline``.
+            ExchangeTimeout: The head was not received by the deadline.
+            TargetDisconnected: The connection ended.
+            ExchangeBroken: The received bytes are not a valid answer, or the answer did
+                not begin by ``head_deadline``.
         """
         wait = self.remaining()
         if head_deadline is not None:
@@ -153,8 +153,8 @@
             limit: Largest accepted size in bytes.
 
         Raises:
-            TooLate: The body was not complete by the deadline.
-            Broken: The body ended early, or is longer than the limit.
+            ExchangeTimeout: The body was not complete by the deadline.
+            ExchangeBroken: The body ended early, or is longer than the limit.
         """
         return b"".join(self.read_pieces(limit))
 
@@ -167,9 +167,9 @@
                 the deadline.
 
         Raises:
-            TooLate: A piece did not arrive in time.
-            Disconnected: The body ended early.
-            Broken: The body is longer than the limit.
+            ExchangeTimeout: A piece did not arrive in time.
+            TargetDisconnected: The body ended early.
+            ExchangeBroken: The body is longer than the limit.
         """
         assert self.response is not None
         total = 0
@@ -193,12 +193,12 @@
         """Return the seconds left until the deadline.
 
         Raises:
-            TooLate: The deadline has passed.
+            ExchangeTimeout: The deadline has passed.
         """
-        left = self.deadline - boottime()
-        if left <= 0:
+        remaining_seconds = self.deadline - boottime()
+        if remaining_seconds <= 0:
             raise TooLate(f"{self.address}: out of time")
-        return left
+        return remaining_seconds
 
     def _set_timeout(self, seconds: float) -> None:
         wait = max(MIN_TIMEOUT_SECONDS, seconds)
--- a/src/ridgecourse/net/front_server.py
+++ b/src/ridgecourse/net/front_server.py
@@ -88,7 +88,7 @@
         Raises:
             BodyTooLarge: The body is larger than the limit.
             BadRequestHead: The length or the chunk framing of the body is wrong.
-            CallerGone: The client disconnected before the end of the body.
+            ClientDisconnected: The client disconnected before the end of the body.
         """
         source = self.environ["wsgi.input"]
         declared = source.content_length or 0
@@ -226,7 +226,7 @@
     Attributes:
         handler: Answers the requests.
         limits: Limits on requests and connections; may change at any time.
-        closing: Whether the server closes each connection after its next answer.
+        is_closing: Whether the server closes each connection after its next answer.
         connections: Open connections.
         in_flight: Number of requests in progress.
     """
--- a/src/ridgecourse/net/http_client.py
+++ b/src/ridgecourse/net/http_client.py
@@ -31,7 +31,7 @@
     Attributes:
         connect_seconds: Longest wait for a connection.
         source_address: Local address to connect from; None for any.
-        pool: Idle connections by server.
+        pool: Connection pools, one for each server.
     """
 
     def __init__(
--- a/src/ridgecourse/net/kept_connections.py
+++ b/src/ridgecourse/net/kept_connections.py
@@ -19,7 +19,7 @@
     Attributes:
         address: HOST:PORT of the process.
         source_address: Local address to connect from; None for any.
-        idle: Open connections without a request in progress.
+        idle_connections: Open connections without a request in progress.
     """
 
     def __init__(self, address: str, source_address: str | None = None) -> None:
--- a/src/ridgecourse/net/loop_lag.py
+++ b/src/ridgecourse/net/loop_lag.py
@@ -18,7 +18,7 @@
     """Measures the lag of the event loop.
 
     Attributes:
-        figures: Metrics that record the lags, as histogram "loop_lag".
+        metrics: Metrics that record the lags, as histogram "loop_lag".
         peak: Recent peak of the lag.
     """
 
--- a/src/ridgecourse/net/record_follower.py
+++ b/src/ridgecourse/net/record_follower.py
@@ -60,7 +60,7 @@
     Attributes:
         decision_wait: Longest wait of one read for a decision.
         targets_pause: Pause between two reads of the target list from the store.
-        told_pause: Pause between two reads of the target list from another process,
+        relay_pause: Pause between two reads of the target list from another process,
             which itself waits for new records before it answers.
     """
 
@@ -94,23 +94,23 @@
         topic: The topic to follow.
         wait: Longest wait of a read for a first record, in seconds.
         pause: Pause between two reads, in seconds.
-        told_pause: Pause after an answer of another process, which itself waits for new
-            records; None to use ``pause``.
+        relay_pause: Pause after an answer of another process, which itself waits for
+            new records; None to use ``pause``.
         apply_batch: Called with each batch, and with whether the batch is a full read
             of the newest record of each key.
         on_outage_end: Called after an outage of the store with its duration in seconds.
         events: The event stream of the process.
-        misses_none: Whether skipped records are read later.
+        reads_skipped: Whether skipped records are read later.
         skipped: Skipped records that are still to be read; None for none.
         offset: Offset of the next read; None to read the newest records.
         is_behind: Whether the topic grows faster than the follower can read it.
         known_end: End of the topic at the time of the last answer.
-        lost_since: Time of the first failed read of the current outage; None while the
-            store is available.
-        heard_at: Last time at which the store confirmed that there is nothing newer; 0
-            for never.
-        unheard: Seconds from the confirmation before the last answer to the arrival of
-            that answer: the largest possible age of a record in the answer.
+        unavailable_since: Time of the first failed read of the current outage; None
+            while the store is available.
+        confirmed_at: Last time at which the store confirmed that there is nothing
+            newer; 0 for never.
+        unconfirmed_seconds: Seconds from the confirmation before the last answer to the
+            arrival of that answer: the largest possible age of a record in the answer.
         failures: Number of consecutive failed reads.
     """
 
@@ -188,7 +188,7 @@
             eventlet.sleep(self._pause_after(batch))
 
     def _check_behind(self, batch: RecordBatch, is_full_read: bool) -> bool:
-        """Check whether the topic has unread records, or still grew in a slow full read.
+        """Check whether the topic has unread records, or grew during a slow full read.
 
         While many records arrive, reading each of them is wasted work: in a burst of
         large configurations, each record took as long as the current configuration.
--- a/src/ridgecourse/net/record_source.py
+++ b/src/ridgecourse/net/record_source.py
@@ -48,20 +48,21 @@
     Attributes:
         records: The records, in order of their offsets.
         end: Offset at which to continue reading.
-        heard_at: Earliest time at which the store may have written the answer; see
+        confirmed_at: Earliest time at which the store may have written the answer; see
             ``core.hearing``.
-        behind: Number of records in the topic after ``end``.
-        since: Time before which none of the records was written. None stands for the
-            last time at which the store confirmed the data without these records.
-        told: Whether another process sent the records. It answers when it has new
+        remaining_records: Number of records in the topic after ``end``.
+        earliest_written_at: Time before which none of the records was written. None
+            stands for the last time at which the store confirmed the data without these
+            records.
+        is_relayed: Whether another process sent the records. It answers when it has new
             records or its wait is over.
-        took: Transfer time of the answer in seconds, from its first piece on.
-        kept: Seconds for which the sending process still ignores removals, after an
-            outage of the store.
+        transfer_seconds: Transfer time of the answer, from its first piece on.
+        removal_grace_seconds: Seconds for which the sending process still ignores
+            removals, after an outage of the store.
         read_at: Time at which the newest record was first read from the store, by this
             process or by the process that read it for this one.
-        level: Number of processes that have forwarded the newest record.
-        passed_from: Offset of the first record that was skipped in favour of the
+        relay_hops: Number of processes that have forwarded the newest record.
+        skipped_from: Offset of the first record that was skipped in favour of the
             newest records; None if none was skipped.
     """
 
@@ -134,7 +135,7 @@
             end: Expected end of the topic.
 
         Raises:
-            TopicGrown: The topic has further records; nothing was written.
+            AppendConflict: The topic has further records; nothing was written.
             SourceUnavailable: The store gave no usable answer; the record may or may
                 not be written, at once or later.
         """
--- a/src/ridgecourse/net/site_process.py
+++ b/src/ridgecourse/net/site_process.py
@@ -62,12 +62,12 @@
         """
         if self.settings is None or not self.settings.changed():
             return
-        read = self.settings.read()
-        if isinstance(read, Failure):
-            errors = "; ".join(map(str, read.failure()))
+        loaded = self.settings.read()
+        if isinstance(loaded, Failure):
+            errors = "; ".join(map(str, loaded.failure()))
             self.events.emit(EventKind.BAD_INPUT, error=errors)
             return
-        adopted, pending = self.site.adopt(read.unwrap())
+        adopted, pending = self.site.adopt(loaded.unwrap())
         self.events.emit(EventKind.SETTINGS_CHANGED, adopted=adopted, pending=pending)
         self.take_bounds()
 
--- a/src/ridgecourse/net/websocket.py
+++ b/src/ridgecourse/net/websocket.py
@@ -33,8 +33,8 @@
 
     Attributes:
         connection: The websocket.
-        sent: Bytes of messages sent since the counter was last reset.
-        received: Bytes of messages received since the counter was last reset.
+        sent_bytes: Bytes of messages sent since the counter was last reset.
+        received_bytes: Bytes of messages received since the counter was last reset.
     """
 
     def __init__(self, connection: Connection) -> None:
