--- a/src/ridgecourse/net/events.py
+++ b/src/ridgecourse/net/events.py
@@ -177,7 +177,7 @@
         See ``Event`` for the arguments.
         """
         self.figures.count(f"event_{kind.value.replace('-', '_')}")
-        if self._is_over_limit(kind):
+        if self._exceeds_rate_limit(kind):
             self.suppressed[kind.value] += 1
             return
         self.clock += 1
@@ -200,7 +200,7 @@
         self.seq += 1
         self.output.write(encode(event) + b"\n")
 
-    def _is_over_limit(self, kind: EventKind) -> bool:
+    def _exceeds_rate_limit(self, kind: EventKind) -> bool:
         """Check whether an event exceeds the rate limit.
 
         At the start of a second the method first emits an event with the numbers of
--- a/src/ridgecourse/net/figures.py
+++ b/src/ridgecourse/net/figures.py
@@ -86,9 +86,9 @@
     Without a free port the process runs without serving its metrics.
     """
 
-    def __init__(self, host: str, figures: Figures) -> None:
+    def __init__(self, host: str, metrics: Figures) -> None:
         router = HttpRouter()
-        router.add("GET", METRICS_PATH, figures.serve)
+        router.add("GET", METRICS_PATH, metrics.serve)
         self.server = HttpServer(Address(host, FIGURES_PORT), router)
 
     def start(self) -> None:
--- a/src/ridgecourse/net/loop_lag.py
+++ b/src/ridgecourse/net/loop_lag.py
@@ -22,8 +22,8 @@
         peak: Recent peak of the lag.
     """
 
-    def __init__(self, figures: Figures) -> None:
-        self.figures = figures
+    def __init__(self, metrics: Figures) -> None:
+        self.figures = metrics
         self.peak = RecentPeak()
         self.thread: eventlet.greenthread.GreenThread | None = None
 
