--- a/src/ridgecourse/platform/engine.py
+++ b/src/ridgecourse/platform/engine.py
@@ -1,4 +1,8 @@
-"""The engine beside a loader: reports, orders, staging area."""
+"""HTTP client of the engine on the loader's own instance.
+
+Reads the engine's report, orders it to start a version of a model's weights, and writes
+and reads chunks in its staging area.
+"""
 
 from urllib.parse import quote
 
@@ -24,15 +28,15 @@
     STAGE_PUT_PATH,
 )
 from ridgecourse.platform.records import (
-    LayerFields,
-    StartMillisecond,
+    LayerRangeFields,
+    StartMilliseconds,
     decode_json,
-    make_layers,
-    make_start,
+    make_engine_start,
+    make_held_layers,
 )
 
-CALL_SECONDS = 1.0
-"""Longest wait for an answer of the engine on the own machine."""
+CALL_TIMEOUT_SECONDS = 1.0
+"""Timeout of a call to the engine, which runs on the same machine."""
 JSON_HEADERS = {"Content-Type": "application/json"}
 ORDER_OUTCOMES = {
     200: OrderOutcome.HELD,
@@ -42,16 +46,23 @@
     412: OrderOutcome.REFUSED,
     421: OrderOutcome.REFUSED,
 }
+"""Outcome of an order by HTTP status; it is unknown for any other status."""
 
 
 class ReportFields(Struct):
-    """An engine's report.
+    """An engine's report, with the platform's field names.
 
     Attributes:
-        utilization: Not a share: whether an order is under way.
-        sequence: Orders taken.
-        kv_used: Tokens, times the layers held.
-        kv_total: Likewise.
+        utilization: Whether the engine is carrying out an order. Despite the name this
+            is not a ratio.
+        sequence: Orders accepted since the engine started.
+        queued: Requests in the engine's queue.
+        active: Requests in progress.
+        kv_used: Occupied KV cache, in tokens times layers held.
+        kv_total: Size of the KV cache, in tokens times layers held.
+        layers: Layers that the engine serves; None for none.
+        pace: Factor by which the engine is slower than usual; 1 for usual speed.
+        born: Start time of the engine in Unix milliseconds; absent if not reported.
     """
 
     utilization: bool = False
@@ -60,13 +71,13 @@
     active: int = 0
     kv_used: int = 0
     kv_total: int = 0
-    layers: LayerFields | None = None
+    layers: LayerRangeFields | None = None
     pace: float = 1.0
-    born: StartMillisecond | UnsetType = UNSET
+    born: StartMilliseconds | UnsetType = UNSET
 
 
-class StartFields(Struct):
-    """An order to take what lies staged."""
+class StartOrderFields(Struct):
+    """An order to serve the staged version of a model's weights."""
 
     model: str
     version: int
@@ -75,27 +86,33 @@
 
 
 class PlatformEngine(EngineControl):
-    """Client of one engine."""
+    """Client of one engine.
+
+    Attributes:
+        address: HOST:PORT of the engine.
+        http: Client for orders and the staging area.
+        connections: Persistent connections for the frequent reports.
+    """
 
     def __init__(self, address: str, http: HttpClient, source: str) -> None:
         self.address = address
         self.http = http
-        self.kept = KeptConnections(address, source)
+        self.connections = KeptConnections(address, source)
 
     def report(self) -> EngineReport:
-        """Return what the engine tells; see ``EngineControl``."""
+        """Return the engine's report; see ``EngineControl``."""
         try:
-            status, data = self.kept.get(REPORT_PATH, CALL_SECONDS)
+            status, data = self.connections.get(REPORT_PATH, CALL_TIMEOUT_SECONDS)
         except (NoConnection, ExchangeFailed) as error:
             raise EngineUnavailable(f"{REPORT_PATH}: {error}") from error
         if status != 200:
-            raise EngineUnavailable(f"report: status {status}")
+            raise EngineUnavailable(f"report: status {status}, expected 200")
         decoded = decode_json(data, ReportFields, "report")
         if isinstance(decoded, Failure):
             raise InvalidReport("; ".join(map(str, decoded.failure())))
         fields: ReportFields = decoded.unwrap()
         return EngineReport(
-            layers=make_layers(fields.layers),
+            layers=make_held_layers(fields.layers),
             orders=fields.sequence,
             busy=fields.utilization,
             queued=fields.queued,
@@ -103,12 +120,12 @@
             cache_used=fields.kv_used,
             cache_total=fields.kv_total,
             pace=fields.pace,
-            started=make_start(fields.born),
+            started=make_engine_start(fields.born),
         )
 
     def start(self, model: ModelName, version: WeightsVersion) -> OrderOutcome:
-        """Order the engine to serve what lies staged; see ``EngineControl``."""
-        body = encode(StartFields(model, version))
+        """Order the engine to serve the staged version; see ``EngineControl``."""
+        body = encode(StartOrderFields(model, version))
         try:
             status, _ = self._call("POST", ORDER_PATH, body)
         except EngineUnavailable:
@@ -116,20 +133,24 @@
         return ORDER_OUTCOMES.get(status, OrderOutcome.UNKNOWN)
 
     def stage(self, model: ModelName, index: int, data: bytes) -> None:
-        """Put a chunk into the staging area; see ``EngineControl``."""
+        """Write a chunk to the staging area; see ``EngineControl``."""
         path = f"{STAGE_PUT_PATH}{quote(model)}?{CHUNK_INDEX}={index}"
         status, _ = self._call("PUT", path, data)
         if status // 100 != 2:
-            raise EngineUnavailable(f"stage {index}: status {status}")
+            raise EngineUnavailable(
+                f"write of chunk {index} for staging: status {status}, expected 2xx"
+            )
 
     def staged(self, model: ModelName, index: int) -> bytes | None:
-        """Return a staged chunk; see ``EngineControl``."""
+        """Return a staged chunk, or None if absent; see ``EngineControl``."""
         path = f"{STAGE_GET_PATH}{quote(model)}?{CHUNK_INDEX}={index}"
         status, data = self._call("GET", path)
         if status == 404:
             return None
         if status != 200:
-            raise EngineUnavailable(f"staged {index}: status {status}")
+            raise EngineUnavailable(
+                f"read of staged chunk {index}: status {status}, expected 200 or 404"
+            )
         return data
 
     def _call(
@@ -138,7 +159,7 @@
         headers = JSON_HEADERS if method == "POST" else None
         try:
             status, data, _ = self.http.fetch(
-                method, self.address, path, body, headers, timeout=CALL_SECONDS
+                method, self.address, path, body, headers, timeout=CALL_TIMEOUT_SECONDS
             )
         except (NoConnection, ExchangeFailed) as error:
             raise EngineUnavailable(f"{path}: {error}") from error
--- a/src/ridgecourse/platform/gateway_main.py
+++ b/src/ridgecourse/platform/gateway_main.py
@@ -1,4 +1,4 @@
-"""Starts a gateway from the platform's settings."""
+"""Entry point of a gateway on the platform: reads the settings file and runs."""
 
 import ridgecourse.net.import_pause  # noqa: F401, I001
 import ridgecourse.net.patch  # noqa: F401
@@ -13,20 +13,20 @@
 from ridgecourse.platform.origin import PlatformOrigin
 from ridgecourse.platform.process import run_on_platform
 from ridgecourse.platform.records import PlatformRecords
-from ridgecourse.platform.requests import PlatformRequests
+from ridgecourse.platform.requests import PlatformRequestProtocol
 from ridgecourse.platform.store import PlatformStore
 
 end_import_pause()
 
 
 def make_gateway(site: Site) -> Gateway:
-    """Return a gateway that speaks the platform's protocols."""
+    """Return a gateway that uses the platform's protocols."""
     http = HttpClient(source=site.host)
     return Gateway(
         site,
         PlatformStore(site.store, http),
         PlatformRecords(),
-        PlatformRequests(),
+        PlatformRequestProtocol(),
         PlatformOrigin(http),
         http,
         READY_PATH,
@@ -34,7 +34,7 @@
 
 
 def main() -> int:
-    """Run a gateway; return its exit code."""
+    """Run a gateway and return the process's exit code."""
     return run_on_platform("ridgecourse-gateway", make_gateway)
 
 
--- a/src/ridgecourse/platform/loader_main.py
+++ b/src/ridgecourse/platform/loader_main.py
@@ -1,4 +1,4 @@
-"""Starts a loader from the platform's settings."""
+"""Entry point of a loader on the platform: reads the settings file and runs."""
 
 import ridgecourse.net.import_pause  # noqa: F401, I001
 import ridgecourse.net.patch  # noqa: F401
@@ -19,7 +19,7 @@
 
 
 def make_loader(site: Site) -> Loader:
-    """Return a loader that speaks the platform's protocols."""
+    """Return a loader that uses the platform's protocols."""
     assert site.target is not None
     http = HttpClient(source=site.host)
     return Loader(
@@ -33,7 +33,7 @@
 
 
 def main() -> int:
-    """Run a loader; return its exit code."""
+    """Run a loader and return the process's exit code."""
     return run_on_platform("ridgecourse-loader", make_loader)
 
 
--- a/src/ridgecourse/platform/names.py
+++ b/src/ridgecourse/platform/names.py
@@ -1,33 +1,34 @@
-"""Names on the platform's wire, each with what it holds."""
+"""Headers, paths, topics and record keys of the platform's protocols."""
 
 SETTINGS_VARIABLE = "RIDGECOURSE_BOOT"
-"""Environment variable with the path of the settings file."""
+"""Environment variable that holds the path of the settings file."""
 
-# Headers of requests.
+# Request headers.
 ATTEMPT_ID = "Attempt-Id"
-"""Identity of one attempt of a client; a retry has another."""
-DEADLINE = "Deadline-Ms"
-KEY = "Key"
-"""The client's API key; engines never see it."""
-ACCOUNT = "Tenant"
-MODEL = "Model"
-TOKENS = "Token-Usage"
-"""Not a usage: tokens of the prompt, comma, most tokens of the answer."""
-LENGTH_HINT = "Length-Hint"
-LAST_EVENT_ID = "Last-Event-Id"
-EXPECTED_TARGET = "Expected-Instance"
-EXPECTED_VERSION = "Expected-Version"
-URGENCY = "Urgency-Class"
+"""Identifies one attempt of a client; each retry has a new value."""
+DEADLINE_HEADER = "Deadline-Ms"
+API_KEY_HEADER = "Key"
+"""The client's API key. The gateway does not forward it to engines."""
+ACCOUNT_HEADER = "Tenant"
+MODEL_HEADER = "Model"
+TOKEN_COUNTS_HEADER = "Token-Usage"
+"""Tokens of the prompt, a comma, and the maximum tokens of the answer. Despite the name
+this is not a measured usage."""
+LENGTH_HINT_HEADER = "Length-Hint"
+LAST_EVENT_ID_HEADER = "Last-Event-Id"
+EXPECTED_TARGET_HEADER = "Expected-Instance"
+EXPECTED_VERSION_HEADER = "Expected-Version"
+URGENCY_HEADER = "Urgency-Class"
 
-# Headers of answers.
+# Answer headers.
 SIGNATURE = "Response-Signature"
 NOT_RUN = "Not-Executed"
-LIMIT = "Server-Limit"
-"""Requests a second that the engine takes from all gateways together."""
-TARGET = "Instance-Id"
-RETRY_AFTER = "Retry-After"
+RATE_LIMIT_HEADER = "Server-Limit"
+"""Requests per second that the engine accepts from all gateways together."""
+TARGET_HEADER = "Instance-Id"
+RETRY_AFTER_HEADER = "Retry-After"
 
-# Calls of engines, origin and store.
+# Paths of calls to engines, origin and store.
 READY_PATH = "/ridgecourse/readyz"
 REPORT_PATH = "/ridgecourse/report"
 ORDER_PATH = "/ridgecourse/order"
@@ -40,13 +41,16 @@
 LOG_NEWEST_PATH = "/ridgecourse/log-newest"
 
 CHUNK_INDEX = "sample_count"
-"""Not a count: the index of one chunk of a model's weights."""
+"""Query parameter with the index of a chunk of a model's weights. Despite the name this
+is not a count."""
 
 DECISIONS_TOPIC = "keyed.op"
 TARGETS_TOPIC = "keyed.servers"
-KEPT_TOPIC = "keyed.ridgecourse-kept"
-"""The system's own: decisions higher than the newest record of their key."""
+PINNED_TOPIC = "keyed.ridgecourse-kept"
+"""Topic that the project itself writes: decisions with a higher revision than the
+newest record of their key."""
 BLOCKED_TOPIC = "keyed.ridgecourse-blocked"
-"""The system's own: requests that are not sent, since they crash engines."""
+"""Topic that the project itself writes: requests that are not sent because they crash
+engines."""
 CONFIG_KEY = "config"
 VERSION_KEY_PREFIX = "version/"
--- a/src/ridgecourse/platform/origin.py
+++ b/src/ridgecourse/platform/origin.py
@@ -1,4 +1,4 @@
-"""The platform's origin of weights."""
+"""HTTP client of the platform's origin, which holds all versions of models' weights."""
 
 from urllib.parse import quote
 
@@ -19,20 +19,26 @@
 from ridgecourse.platform.records import decode_json
 
 WEIGHTS_FILE = "weights"
-"""Name of the one file that a version is, in the terms of our manifests."""
-MANIFEST_SECONDS = 2.0
-MAX_BYTES = 16 * 1024 * 1024
+"""Path of a version in its ``Manifest``. The platform has no files: a version is one
+sequence of chunks, which the manifest lists as a single file."""
+MANIFEST_TIMEOUT_SECONDS = 2.0
+MAX_ANSWER_BYTES = 16 * 1024 * 1024
 
 
 class ManifestFields(Struct):
-    """A version's digests, SHA-256 in hexadecimal, one a chunk."""
+    """The platform's manifest of a version.
+
+    Attributes:
+        chunk_bytes: Size of each chunk in bytes.
+        digests: SHA-256 of each chunk in hexadecimal.
+    """
 
     chunk_bytes: int
     digests: list[str]
 
 
 class PlatformOrigin(WeightsOrigin):
-    """Client of the origin."""
+    """Client of the origin for all models and versions."""
 
     def __init__(self, http: HttpClient) -> None:
         self.http = http
@@ -42,7 +48,7 @@
     ) -> Manifest:
         """Return a version's manifest; see ``WeightsOrigin``."""
         path = f"{MANIFEST_PATH}{quote(model)}?version={version}"
-        data = self.fetch(address, path, MANIFEST_SECONDS)
+        data = self.fetch(address, path, MANIFEST_TIMEOUT_SECONDS)
         decoded = decode_json(data, ManifestFields, "manifest")
         if isinstance(decoded, Failure):
             raise OriginUnavailable(str(decoded.failure()))
@@ -51,26 +57,33 @@
         size = fields.chunk_bytes * len(digests)
         entry = FileEntry(WEIGHTS_FILE, size, digests)
         manifest = Manifest(fields.chunk_bytes, (entry,))
-        faults = list(find_faults(manifest))
-        if faults:
-            raise OriginUnavailable("; ".join(map(str, faults)))
+        problems = list(find_faults(manifest))
+        if problems:
+            raise OriginUnavailable("; ".join(map(str, problems)))
         return manifest
 
     def chunks(
         self, address: str, model: ModelName, version: WeightsVersion
-    ) -> "PlatformChunks":
+    ) -> "PlatformChunkOrigin":
         """Return the origin of a version's chunks; see ``WeightsOrigin``."""
-        return PlatformChunks(self, address, model, version)
+        return PlatformChunkOrigin(self, address, model, version)
 
     def fetch(self, address: str, path: str, stall: float) -> bytes:
-        """Return what lies at a path.
+        """Return the body that the origin serves at a path.
+
+        Args:
+            address: HOST:PORT of the origin.
+            path: Path and query.
+            stall: Timeout of each read, in seconds.
 
         Raises:
-            OriginUnavailable: It cannot be had now.
+            OriginBusy: The origin answered with status 429 or 503.
+            OriginMissing: The origin answered with status 404 or 410.
+            OriginUnavailable: The origin gave no answer or one with another status.
         """
         try:
             status, data, _ = self.http.fetch(
-                "GET", address, path, timeout=stall, limit=MAX_BYTES
+                "GET", address, path, timeout=stall, limit=MAX_ANSWER_BYTES
             )
         except (NoConnection, ExchangeFailed) as error:
             raise OriginUnavailable(f"{path}: {error}") from error
@@ -79,12 +92,12 @@
         if status in (404, 410):
             raise OriginMissing(f"{path}: status {status}")
         if status != 200:
-            raise OriginUnavailable(f"{path}: status {status}")
+            raise OriginUnavailable(f"{path}: status {status}, expected 200")
         return data
 
 
-class PlatformChunks(ChunkOrigin):
-    """The origin of one version's chunks."""
+class PlatformChunkOrigin(ChunkOrigin):
+    """Client of the origin for the chunks of one version."""
 
     def __init__(
         self,
--- a/src/ridgecourse/platform/process.py
+++ b/src/ridgecourse/platform/process.py
@@ -1,4 +1,4 @@
-"""What the programs on the platform do alike: settings, logs, signals."""
+"""Common start-up of the platform's programs: options, settings, logging, signals."""
 
 import os
 import sys
@@ -21,14 +21,19 @@
 
 def run_on_platform(
     program: str,
-    make: Callable[[Site], SiteProcess],
+    make_process: Callable[[Site], SiteProcess],
     arguments: list[str] | None = None,
 ) -> int:
-    """Check the settings and run a process until it is told to stop.
+    """Check the settings and run a process until a signal stops it.
+
+    Args:
+        program: Name of the program for the usage message.
+        make_process: Creates the process from its settings.
+        arguments: Command-line arguments; None for those of ``sys.argv``.
 
     Returns:
-        The exit code: 0 after a planned stop, 1 if it could not start, 2 for
-        settings that do not fit.
+        The exit code: 0 after a planned stop, 1 if the process could not start, 2 if
+        the settings are invalid.
     """
     parser = ArgumentParser(prog=program)
     parser.add_argument(
@@ -53,6 +58,6 @@
         print(f"{options.settings}: ok")
         return EXIT_OK
     set_up_logging(site.process, site.domain, options.log_level)
-    process = make(site)
+    process = make_process(site)
     process.watch_settings(settings)
     return run_until_signal(process)
--- a/src/ridgecourse/platform/records.py
+++ b/src/ridgecourse/platform/records.py
@@ -1,4 +1,4 @@
-"""Decodes the values of the store's records."""
+"""Decodes the store's records into decisions of operators and changes of targets."""
 
 from collections.abc import Sequence
 from enum import Enum
@@ -24,83 +24,104 @@
 from ridgecourse.net.record_source import KeyedRecord
 from ridgecourse.platform.config_records import ConfigFields, make_config
 from ridgecourse.platform.field_types import (
-    Count,
-    HeldVersion,
-    Index,
-    Name,
+    AsciiName,
+    NonNegativeInt,
+    PositiveInt,
     SocketAddress,
     Version,
+    VersionOrZero,
     check_address,
 )
 from ridgecourse.platform.names import CONFIG_KEY, VERSION_KEY_PREFIX
 
-TARGET_KEY = "[!-~]{1,255}"
-"""Visible ASCII: a target's identity goes into a header as it stands."""
+TARGET_KEY_PATTERN = "[!-~]{1,255}"
+"""Visible ASCII, because a target's identity is put into a header without escaping."""
 
 
-class TargetState(Enum):
-    """What a target tells of itself."""
+class AdvertisedState(Enum):
+    """State that a target advertises in its entry."""
 
     READY = "ready"
     LEAVING = "draining"
 
 
-class ServedFields(Struct):
-    """A model that an engine serves."""
+class ServedModelFields(Struct):
+    """A model that an engine serves, and the version of its weights."""
 
-    name: Name
-    version: HeldVersion
+    name: AsciiName
+    version: VersionOrZero
     adapters: list[Any] = []
 
 
-class LayerFields(Struct):
-    """Layers that an engine holds.
+class LayerRangeFields(Struct):
+    """Contiguous layers of a model that an engine holds.
 
     Attributes:
-        first: First layer.
-        end: First layer beyond; the platform calls it a version.
-        version: Version of their weights.
+        first: Index of the first layer.
+        end: Index after the last layer. Despite the platform's name for this field
+            it is not a version.
+        version: Version of the layers' weights.
     """
 
-    first: Index = field(name="from")
-    end: Index = field(name="target_version")
-    version: HeldVersion
+    first: NonNegativeInt = field(name="from")
+    end: NonNegativeInt = field(name="target_version")
+    version: VersionOrZero
 
 
-StartMillisecond = Annotated[int, Meta(ge=0, lt=10**13)]
-"""A Unix millisecond before the year 2286. What is negative or higher, as microseconds
-are, is no start: believed, a higher one would shut out the engine's later lives."""
+StartMilliseconds = Annotated[int, Meta(ge=0, lt=10**13)]
+"""Unix time in milliseconds, before the year 2286. Negative and higher values, such as
+microseconds, are rejected: if a higher value were accepted, entries of all later
+incarnations of the engine would be ignored as older."""
 
 
 class TargetFields(Struct):
-    """A target's entry in the list.
+    """A target's entry in the target list.
 
-    Every target writes all but the last three, which engines of models add: an entry
-    that lacks one, needed here or not, is not a target's own.
+    Every target writes all fields except the last three, ``models``, ``layers`` and
+    ``born``, which engines of models add. An entry that lacks a required field was not
+    written by a target and is rejected, even if the field is not used.
+
+    Attributes:
+        service: Service that the target belongs to.
+        address: HOST:PORT of the target.
+        zone: Failure domain of the target.
+        version: Not used.
+        slots: Requests that the target runs concurrently.
+        state: State that the target advertises.
+        cold_remaining_ms: Not used.
+        sequence: Not used.
+        phase: Not used.
+        models: Models that the engine serves.
+        layers: Layers that the engine holds; None for none.
+        born: Start time of the engine; absent if not reported.
     """
 
-    service: Name
+    service: AsciiName
     address: SocketAddress
-    zone: Name
+    zone: AsciiName
     version: str
-    slots: Count
-    state: TargetState
+    slots: PositiveInt
+    state: AdvertisedState
     cold_remaining_ms: float
     sequence: int
     phase: str = ""
-    models: list[ServedFields] = []
-    layers: LayerFields | None = None
-    born: StartMillisecond | UnsetType = UNSET
+    models: list[ServedModelFields] = []
+    layers: LayerRangeFields | None = None
+    born: StartMilliseconds | UnsetType = UNSET
 
     def __post_init__(self) -> None:
-        """Check the address."""
+        """Check the address.
+
+        Raises:
+            ValueError: ``address`` is not a valid address.
+        """
         check_address(self.address)
 
 
 class VersionFields(Struct):
-    """New weights of a model."""
+    """An operator's decision to serve a version of a model's weights."""
 
-    model: Name
+    model: AsciiName
     version: Version
 
 
@@ -110,93 +131,104 @@
 
 
 def decode_decision(record: KeyedRecord) -> Result[Decision | None, Findings]:
-    """Decode an operator's decision; None for kinds that are not known."""
+    """Decode an operator's decision; return None for an unknown kind of decision."""
     if record.key == CONFIG_KEY:
         return decode_value(record, CONFIG_DECODER).map(make_config)
     if record.key.startswith(VERSION_KEY_PREFIX):
         return decode_value(record, VERSION_DECODER).bind(
-            lambda fields: make_named(record, fields)
+            lambda fields: make_named_version(record, fields)
         )
-    return fail(record, record.broken) if record.broken else Success(None)
+    return make_failure(record, record.broken) if record.broken else Success(None)
 
 
 def decode_value(record: KeyedRecord, decoder: Decoder) -> Result[Any, Findings]:
-    """Decode a record's value; any writer may have left it, and left anything."""
+    """Decode a record's value, which can be any bytes because any writer can append.
+
+    Deeply nested JSON, which raises ``RecursionError``, is reported as a problem too.
+    """
     if record.broken:
-        return fail(record, record.broken)
+        return make_failure(record, record.broken)
     try:
         return Success(decoder.decode(record.value))
     except (DecodeError, RecursionError) as error:
-        return fail(record, str(error))
+        return make_failure(record, str(error))
 
 
-def fail(record: KeyedRecord, why: str) -> Result[Any, Findings]:
-    """Return that a record cannot be used."""
-    return Failure((Finding(record.key, why),))
+def make_failure(record: KeyedRecord, reason: str) -> Result[Any, Findings]:
+    """Return a failure with the record's key as the place of the problem."""
+    return Failure((Finding(record.key, reason),))
 
 
-def make_named(
+def make_named_version(
     record: KeyedRecord, fields: VersionFields
 ) -> Result[NamedVersion, Findings]:
-    """Return the version that a record names, of the model that its key is about."""
+    """Return the named version; fail if the key is for another model than the value."""
     if record.key != f"{VERSION_KEY_PREFIX}{fields.model}":
-        return fail(record, f"names another model, {fields.model}")
+        return make_failure(
+            record, f"the value names {fields.model}, expected the key's model"
+        )
     model = ModelName(fields.model)
     return Success(NamedVersion(model, WeightsVersion(fields.version)))
 
 
 def decode_target(record: KeyedRecord) -> Result[TargetRecord, Findings]:
-    """Decode an entry of the list of targets, or its removal."""
+    """Decode an entry of the target list, or its removal, which has an empty value."""
     target = TargetId(record.key)
     if not record.value and not record.broken:
         return Success(TargetRecord(target, record.offset, None))
-    if not fullmatch(TARGET_KEY, record.key):
-        return fail(record, "the key is no target's")
+    if not fullmatch(TARGET_KEY_PATTERN, record.key):
+        return make_failure(record, "expected 1 to 255 visible ASCII characters as key")
     return decode_value(record, TARGET_DECODER).map(
         lambda fields: TargetRecord(target, record.offset, make_target(target, fields))
     )
 
 
 def make_target(target: TargetId, fields: TargetFields) -> ListedTarget:
-    """Return a target in the system's own terms."""
+    """Return the ``ListedTarget`` of a decoded entry."""
     return ListedTarget(
         target=target,
         service=ServiceName(fields.service),
         address=fields.address,
         domain=DomainName(fields.zone),
         slots=fields.slots,
-        leaving=fields.state is TargetState.LEAVING,
+        leaving=fields.state is AdvertisedState.LEAVING,
         models={
             ModelName(model.name): WeightsVersion(model.version)
             for model in fields.models
         },
-        layers=make_layers(fields.layers),
-        started=make_start(fields.born),
+        layers=make_held_layers(fields.layers),
+        started=make_engine_start(fields.born),
     )
 
 
-def make_start(millisecond: int | UnsetType) -> EngineStart | None:
-    """Return when an engine started; None if it does not tell."""
-    return None if millisecond is UNSET else EngineStart(millisecond)
+def make_engine_start(milliseconds: int | UnsetType) -> EngineStart | None:
+    """Return an engine's start time, or None if the engine does not report one."""
+    return None if milliseconds is UNSET else EngineStart(milliseconds)
 
 
-def make_layers(fields: LayerFields | None) -> HeldLayers | None:
-    """Return held layers in the system's own terms; None for none."""
+def make_held_layers(fields: LayerRangeFields | None) -> HeldLayers | None:
+    """Return the layers that an engine holds, or None if the range is empty."""
     if fields is None or fields.end <= fields.first:
         return None
     return HeldLayers(fields.first, fields.end, WeightsVersion(fields.version))
 
 
-def decode_json(data: bytes, kind: Any, place: str) -> Result[Any, Findings]:
-    """Decode an answer's body into a type of this package."""
+def decode_json(data: bytes, body_type: Any, place: str) -> Result[Any, Findings]:
+    """Decode the JSON body of an answer.
+
+    Args:
+        data: The body.
+        body_type: Type to decode into.
+        place: Place of the problem if the body is invalid.
+    """
     try:
-        return Success(Decoder(kind).decode(data))
+        return Success(Decoder(body_type).decode(data))
     except DecodeError as error:
         return Failure((Finding(place, str(error)),))
 
 
 class PlatformRecords(RecordDecoder):
-    """The platform's records."""
+    """Decoder of the platform's records."""
 
     def decision(self, record: KeyedRecord) -> Result[Decision | None, Findings]:
         """Return an operator's decision; see ``RecordDecoder``."""
@@ -205,13 +237,17 @@
     def targets(
         self, records: Sequence[KeyedRecord]
     ) -> tuple[Sequence[TargetRecord], Findings]:
-        """Return changes of the list; see ``RecordDecoder``."""
+        """Return changes of the target list; see ``RecordDecoder``."""
         decoded = [(record, decode_target(record)) for record in records]
-        changes = [item.value_or(reject_target(record)) for record, item in decoded]
-        findings = [item.failure() for _, item in decoded if isinstance(item, Failure)]
-        return changes, tuple(finding for group in findings for finding in group)
+        changes = [
+            result.value_or(make_rejected_target(record)) for record, result in decoded
+        ]
+        problem_groups = [
+            result.failure() for _, result in decoded if isinstance(result, Failure)
+        ]
+        return changes, tuple(problem for group in problem_groups for problem in group)
 
 
-def reject_target(record: KeyedRecord) -> TargetRecord:
-    """Return that a record names no target to be used."""
+def make_rejected_target(record: KeyedRecord) -> TargetRecord:
+    """Return the change of the list for an entry that cannot be decoded."""
     return TargetRecord(TargetId(record.key), record.offset, None, rejected=True)
--- a/src/ridgecourse/platform/requests.py
+++ b/src/ridgecourse/platform/requests.py
@@ -1,4 +1,7 @@
-"""Translates requests and answers to and from the platform's headers."""
+"""Translates clients' requests and targets' answers from and to the platform's headers.
+
+The rest of the gateway does not depend on the platform's header names.
+"""
 
 import re
 
@@ -12,32 +15,33 @@
 from ridgecourse.net.front_server import FrontRequest
 from ridgecourse.net.http_server import HeaderList
 from ridgecourse.platform.names import (
-    ACCOUNT,
+    ACCOUNT_HEADER,
+    API_KEY_HEADER,
     ATTEMPT_ID,
-    DEADLINE,
-    EXPECTED_TARGET,
-    EXPECTED_VERSION,
-    KEY,
-    LAST_EVENT_ID,
-    LENGTH_HINT,
-    LIMIT,
-    MODEL,
+    DEADLINE_HEADER,
+    EXPECTED_TARGET_HEADER,
+    EXPECTED_VERSION_HEADER,
+    LAST_EVENT_ID_HEADER,
+    LENGTH_HINT_HEADER,
+    MODEL_HEADER,
     NOT_RUN,
-    RETRY_AFTER,
+    RATE_LIMIT_HEADER,
+    RETRY_AFTER_HEADER,
     SIGNATURE,
-    TARGET,
-    TOKENS,
-    URGENCY,
+    TARGET_HEADER,
+    TOKEN_COUNTS_HEADER,
+    URGENCY_HEADER,
 )
 from ridgecourse.platform.settings import MILLISECOND
 
 MISDIRECTED = 421
-DECIMAL = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?", re.ASCII)
-HIGHEST_LIMIT = 1e6
-"""A limit in requests a second that no engine comes near to: it is a mistake."""
-EVENTS_TYPE = "text/event-stream"
+DECIMAL_PATTERN = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?", re.ASCII)
+MAX_PLAUSIBLE_LIMIT = 1e6
+"""Highest rate limit, in requests per second, that is accepted from an engine. No
+engine reaches this rate, so a higher limit is an error of the engine."""
+EVENT_STREAM_TYPE = "text/event-stream"
 
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -50,60 +54,69 @@
         "expect",
     }
 )
-"""Headers about one connection only; framing is made anew for each."""
+"""Headers that apply to one connection only, and those that frame the body, which each
+connection sets anew. They are not forwarded."""
 
 REPLACED_HEADERS = frozenset(
     name.lower()
     for name in (
-        KEY,
-        ACCOUNT,
-        DEADLINE,
-        EXPECTED_TARGET,
-        EXPECTED_VERSION,
-        URGENCY,
-        LAST_EVENT_ID,
+        API_KEY_HEADER,
+        ACCOUNT_HEADER,
+        DEADLINE_HEADER,
+        EXPECTED_TARGET_HEADER,
+        EXPECTED_VERSION_HEADER,
+        URGENCY_HEADER,
+        LAST_EVENT_ID_HEADER,
     )
 )
-"""Headers that the system sets itself, whatever the caller sent."""
+"""Headers that the gateway sets itself; a client's values are not forwarded."""
 
-SINGLE_HEADERS = ("Host", ATTEMPT_ID, DEADLINE, KEY, "Content-Length")
-"""Headers that may stand in a request once at most: a second one could mean
-something else to the target than to us."""
+UNREPEATABLE_HEADERS = (
+    "Host",
+    ATTEMPT_ID,
+    DEADLINE_HEADER,
+    API_KEY_HEADER,
+    "Content-Length",
+)
+"""Headers that a request may contain only once. With two values, the gateway and the
+target could each use a different one."""
 
 
-class PlatformRequests(RequestProtocol):
-    """The platform's request protocol."""
+class PlatformRequestProtocol(RequestProtocol):
+    """Implements the platform's request protocol."""
 
     def decode_request(self, request: FrontRequest) -> Result[CallerRequest, Findings]:
-        """Return a caller's request; see ``RequestProtocol``."""
-        fields = Fields(request.headers)
-        findings = [
+        """Return a client's request or the problems; see ``RequestProtocol``."""
+        fields = HeaderFields(request.headers)
+        problems = [
             Finding(name, "stands more than once")
-            for name in SINGLE_HEADERS
+            for name in UNREPEATABLE_HEADERS
             if len(fields.values(name)) > 1
         ]
-        findings.extend(
+        problems.extend(
             Finding(name, "is folded over lines")
             for name, value in request.headers
             if "\n" in value or "\r" in value
         )
-        coding = fields.first("Transfer-Encoding")
-        if coding and coding.lower() != "chunked":
-            findings.append(Finding("Transfer-Encoding", f"is {coding!r}"))
+        transfer_encoding = fields.first("Transfer-Encoding")
+        if transfer_encoding and transfer_encoding.lower() != "chunked":
+            problems.append(Finding("Transfer-Encoding", f"is {transfer_encoding!r}"))
         if not request.target.isascii():
-            findings.append(Finding("target", "has bytes beyond ASCII"))
-        wait = fields.number(DEADLINE)
-        if fields.first(DEADLINE) and wait is None:
-            findings.append(Finding(DEADLINE, "is no number"))
-        if findings:
-            return Failure(tuple(findings))
-        return Success(self._make(request, fields, wait))
-
-    def _make(
-        self, request: FrontRequest, fields: "Fields", wait: float | None
+            problems.append(Finding("target", "has bytes beyond ASCII"))
+        timeout_ms = fields.number(DEADLINE_HEADER)
+        if fields.first(DEADLINE_HEADER) and timeout_ms is None:
+            problems.append(Finding(DEADLINE_HEADER, "is no number"))
+        if problems:
+            return Failure(tuple(problems))
+        return Success(self._make_request(request, fields, timeout_ms))
+
+    def _make_request(
+        self, request: FrontRequest, fields: "HeaderFields", timeout_ms: float | None
     ) -> CallerRequest:
-        prompt, _, answer = fields.first(TOKENS).partition(",")
-        dropped = HOP_HEADERS | REPLACED_HEADERS | fields.connection_options()
+        prompt, _, answer = fields.first(TOKEN_COUNTS_HEADER).partition(",")
+        dropped_names = (
+            HOP_BY_HOP_HEADERS | REPLACED_HEADERS | fields.connection_options()
+        )
         return CallerRequest(
             request_id=RequestId(fields.first(ATTEMPT_ID)),
             method=request.method,
@@ -112,70 +125,74 @@
             headers=[
                 (name, value)
                 for name, value in request.headers
-                if name.lower() not in dropped
+                if name.lower() not in dropped_names
             ],
-            wait=None if wait is None else wait * MILLISECOND,
-            key=fields.first(KEY),
-            model=ModelName(fields.first(MODEL)),
+            wait=None if timeout_ms is None else timeout_ms * MILLISECOND,
+            key=fields.first(API_KEY_HEADER),
+            model=ModelName(fields.first(MODEL_HEADER)),
             prompt_tokens=int(prompt) if prompt.isdecimal() else 0,
             answer_tokens=int(answer) if answer.isdecimal() else 0,
-            length_hint=int(fields.number(LENGTH_HINT) or 0),
-            last_event=fields.whole(LAST_EVENT_ID),
+            length_hint=int(fields.number(LENGTH_HINT_HEADER) or 0),
+            last_event=fields.integer(LAST_EVENT_ID_HEADER),
         )
 
     def encode_request(self, call: CallerRequest, terms: SendTerms) -> HeaderList:
-        """Return the headers for a target; see ``RequestProtocol``."""
+        """Return the headers to send to a target; see ``RequestProtocol``."""
         headers = list(call.headers)
-        headers.append((DEADLINE, str(max(1, int(terms.wait / MILLISECOND)))))
-        headers.append((EXPECTED_TARGET, terms.target))
+        headers.append((DEADLINE_HEADER, str(max(1, int(terms.wait / MILLISECOND)))))
+        headers.append((EXPECTED_TARGET_HEADER, terms.target))
         if terms.account is not None:
-            headers.append((ACCOUNT, terms.account))
+            headers.append((ACCOUNT_HEADER, terms.account))
         if terms.version is not None:
-            headers.append((EXPECTED_VERSION, str(terms.version)))
+            headers.append((EXPECTED_VERSION_HEADER, str(terms.version)))
         if terms.last_event is not None:
-            headers.append((LAST_EVENT_ID, str(terms.last_event)))
+            headers.append((LAST_EVENT_ID_HEADER, str(terms.last_event)))
         if terms.urgency is not None:
-            headers.append((URGENCY, str(terms.urgency)))
+            headers.append((URGENCY_HEADER, str(terms.urgency)))
         headers.append(("Connection", "close"))
         return headers
 
     def decode_answer(self, response: BaseHTTPResponse) -> AnswerHead:
         """Return the head of an answer; see ``RequestProtocol``."""
         fields = response.headers
-        named = fields.get(LIMIT, "").strip()
-        limit = read_limit(named)
+        limit_text = fields.get(RATE_LIMIT_HEADER, "").strip()
+        limit = parse_limit(limit_text)
         return AnswerHead(
             status=response.status,
             reason=response.reason or "",
             headers=[
                 (name, value)
                 for name, value in fields.items()
-                if name.lower() not in HOP_HEADERS and name.lower() != "date"
+                if name.lower() not in HOP_BY_HOP_HEADERS and name.lower() != "date"
             ],
             request_id=fields.get(ATTEMPT_ID, ""),
             signed=bool(fields.get(SIGNATURE)),
             not_run=NOT_RUN in fields or response.status == MISDIRECTED,
-            other_target=response.status == MISDIRECTED or TARGET in fields,
-            events=fields.get("Content-Type", "").startswith(EVENTS_TYPE),
+            other_target=response.status == MISDIRECTED or TARGET_HEADER in fields,
+            events=fields.get("Content-Type", "").startswith(EVENT_STREAM_TYPE),
             limit=limit,
-            bad_limit=named if limit is None else "",
+            bad_limit=limit_text if limit is None else "",
         )
 
     def retry_after(self, seconds: float) -> HeaderList:
-        """Return the headers that tell when to come back; fractions may stand."""
-        return [(RETRY_AFTER, f"{seconds:.3f}")]
+        """Return the header with the retry delay, which may be a fractional number."""
+        return [(RETRY_AFTER_HEADER, f"{seconds:.3f}")]
 
 
-def read_limit(text: str) -> float | None:
-    """Return a limit in requests a second; None where the text is none."""
-    if not DECIMAL.fullmatch(text):
+def parse_limit(text: str) -> float | None:
+    """Return a rate limit in requests per second, or None if the text is invalid."""
+    if not DECIMAL_PATTERN.fullmatch(text):
         return None
     limit = float(text)
-    return limit if limit <= HIGHEST_LIMIT else None
+    return limit if limit <= MAX_PLAUSIBLE_LIMIT else None
+
 
+class HeaderFields:
+    """Header values by name, which is not case-sensitive.
 
-class Fields:
-    """Header lines by name."""
+    Attributes:
+        by_name: Values in order of the header lines, by lower-case name.
+    """
 
     def __init__(self, headers: HeaderList) -> None:
         self.by_name: dict[str, list[str]] = {}
@@ -187,24 +204,24 @@
         return self.by_name.get(name.lower(), [])
 
     def first(self, name: str) -> str:
-        """Return the first value of a header, empty if there is none."""
+        """Return the first value of a header, or an empty text if absent."""
         values = self.values(name)
         return values[0] if values else ""
 
     def number(self, name: str) -> float | None:
-        """Return a header's value as a number of 0 or more, if it is one."""
+        """Return a header's value as a finite number of 0 or more, or None."""
         try:
             value = float(self.first(name))
         except ValueError:
             return None
         return value if 0 <= value < float("inf") else None
 
-    def whole(self, name: str) -> int | None:
-        """Return a header's value as a whole number, if it is one."""
+    def integer(self, name: str) -> int | None:
+        """Return a header's value as a non-negative integer, or None."""
         text = self.first(name)
         return int(text) if text.isdecimal() else None
 
     def connection_options(self) -> frozenset[str]:
-        """Return the headers that the sender meant for one connection only."""
+        """Return the names of the headers that ``Connection`` declares hop-by-hop."""
         listed = ",".join(self.values("Connection")).lower().split(",")
         return frozenset(name.strip() for name in listed if name.strip())
--- a/src/ridgecourse/platform/settings.py
+++ b/src/ridgecourse/platform/settings.py
@@ -1,4 +1,8 @@
-"""The platform's settings file, decoded into a ``Site``."""
+"""Reads the platform's settings file, a JSON object, into a ``Site``.
+
+Every missing or invalid field is reported with its place, so that an operator can fix
+all problems at once.
+"""
 
 import logging
 from collections.abc import Iterator
@@ -21,26 +25,51 @@
 
 
 class ListenFields(Struct):
-    """Addresses that the platform's callers use."""
+    """Addresses that the process listens on for the platform.
+
+    Attributes:
+        frontend: HOST:PORT for clients' requests; None if the process serves none.
+        readiness: HOST:PORT for the load balancer's readiness checks; None for none.
+    """
 
     frontend: str | None = None
     readiness: str | None = None
 
 
 class StoreFields(Struct):
-    """The platform's store."""
+    """The platform's store.
+
+    Attributes:
+        address: HOST:PORT of the store.
+    """
 
     address: str
 
 
-class LimitFields(Struct):
-    """Resources of the instance."""
+class ResourceLimitFields(Struct):
+    """Resources of the instance.
+
+    Attributes:
+        bandwidth_mbps: Capacity of the instance's link in megabits per second.
+    """
 
     bandwidth_mbps: float
 
 
 class BoundFields(Struct):
-    """Limits of the operators, times as their names say."""
+    """Limits that the operators set; the suffix of a name gives the unit.
+
+    Attributes:
+        grace_s: Time from SIGTERM to SIGKILL.
+        drain_ms: How long a leaving target may still get requests.
+        config_apply_ms: Time within which a configuration must be in force.
+        version_ms: Time after which no request may start on older weights.
+        reuse_after_s: Time after which the address of an ended target may belong to
+            another target.
+        retry_budget_ratio: Retries allowed per request of a service, over all gateways.
+        retry_window_s: Time window of the retry ratio.
+        retry_slack: Retries allowed in a window in addition to the ratio.
+    """
 
     grace_s: float
     drain_ms: float
@@ -53,12 +82,23 @@
 
 
 class SiteFields(Struct):
-    """The fields of the file that the system uses.
+    """The fields of the settings file that are used; other fields are ignored.
 
     Attributes:
-        app: Address of the engine on this machine.
-        service: Service of that engine.
-        internal_port_range: First and last port for the system's own use.
+        node_name: Name of the process.
+        ip: IP address of the instance.
+        zone: Failure domain of the instance.
+        zones: Region of each failure domain.
+        listen: Addresses to listen on.
+        internal_port_range: First and last port for connections between processes of
+            the project.
+        seed_nodes: Addresses of some other instances, which may be down.
+        limits: Resources of the instance.
+        bounds: Limits that the operators set.
+        platform: The platform's store.
+        app: Address of the engine on this instance; None without an engine.
+        bootstrap: Whether the whole deployment starts for the first time.
+        service: Service of the engine on this instance.
     """
 
     node_name: str
@@ -68,7 +108,7 @@
     listen: ListenFields
     internal_port_range: tuple[int, int]
     seed_nodes: list[str]
-    limits: LimitFields
+    limits: ResourceLimitFields
     bounds: BoundFields
     platform: StoreFields
     app: str | None = field(default=None)
@@ -80,8 +120,8 @@
     """The settings file.
 
     Attributes:
-        path: Where it lies.
-        content: Its bytes when it was read last.
+        path: Path of the file.
+        content: Content of the file at the last read; None before the first read.
     """
 
     def __init__(self, path: Path) -> None:
@@ -89,19 +129,19 @@
         self.content: bytes | None = None
 
     def changed(self) -> bool:
-        """Tell whether the file differs from what was read last."""
+        """Check whether the file's content differs from the last read."""
         try:
             return self.path.read_bytes() != self.content
         except OSError as error:
-            # It is being replaced; the next look finds the new one.
-            logger.debug("%s: %s", self.path, error)
+            # The file is being replaced; the next poll reads the new one.
+            logger.debug("settings file %s cannot be read: %s", self.path, error)
             return False
 
     def read(self) -> Result[Site, Findings]:
         """Read and check the file.
 
         Returns:
-            The settings, or everything that is wrong with the file.
+            The settings, or all problems of the file.
         """
         try:
             self.content = self.path.read_bytes()
@@ -111,45 +151,57 @@
 
 
 def parse_site(content: bytes, path: Path) -> Result[Site, Findings]:
-    """Return the settings in a file's content, or everything wrong with them."""
+    """Return the settings in a file's content, or all problems of the content."""
     try:
         raw = decode(content)
     except DecodeError as error:
         return Failure((Finding(str(path), f"cannot be read: {error}"),))
     if not isinstance(raw, dict):
         return Failure((Finding(str(path), "expected an object"),))
-    findings = tuple(find_faults(raw, SiteFields, str(path)))
-    if findings:
-        return Failure(findings)
+    problems = tuple(find_problems(raw, SiteFields, str(path)))
+    if problems:
+        return Failure(problems)
     return Success(make_site(convert(raw, SiteFields)))
 
 
-def find_faults(raw: Any, kind: type[Struct], place: str) -> Iterator[Finding]:
-    """Yield what is missing or of a wrong type, with its place."""
+def find_problems(raw: Any, struct_type: type[Struct], place: str) -> Iterator[Finding]:
+    """Yield a problem for each field that is missing or has a wrong type.
+
+    Args:
+        raw: Decoded JSON.
+        struct_type: Type that ``raw`` must fit; its nested types are checked as well.
+        place: Path of ``raw`` in the file, to which the field names are added.
+    """
     if not isinstance(raw, dict):
         yield Finding(place, f"expected an object, found {raw!r}")
         return
-    for name, wanted in kind.__annotations__.items():
-        here = f"{place}: {name}"
-        optional = name in kind.__struct_fields__[-len(kind.__struct_defaults__) :]
+    for name, expected_type in struct_type.__annotations__.items():
+        field_place = f"{place}: {name}"
+        has_default = (
+            name
+            in struct_type.__struct_fields__[-len(struct_type.__struct_defaults__) :]
+        )
         if name not in raw:
-            if not (kind.__struct_defaults__ and optional):
-                yield Finding(here, "is missing")
-        elif isinstance(wanted, type) and issubclass(wanted, Struct):
-            yield from find_faults(raw[name], wanted, here)
+            if not (struct_type.__struct_defaults__ and has_default):
+                yield Finding(field_place, "is missing")
+        elif isinstance(expected_type, type) and issubclass(expected_type, Struct):
+            yield from find_problems(raw[name], expected_type, field_place)
         else:
-            yield from _find_type_fault(raw[name], wanted, here)
+            yield from _find_type_problem(raw[name], expected_type, field_place)
 
 
-def _find_type_fault(value: Any, wanted: Any, place: str) -> Iterator[Finding]:
+def _find_type_problem(value: Any, expected_type: Any, place: str) -> Iterator[Finding]:
     try:
-        convert(value, wanted)
+        convert(value, expected_type)
     except ValidationError as error:
         yield Finding(place, f"{error}, found {value!r}")
 
 
 def make_site(fields: SiteFields) -> Site:
-    """Return the settings in the system's own terms."""
+    """Return the ``Site`` of decoded settings.
+
+    The local target requires both ``app`` and ``service``.
+    """
     target = None
     if fields.app and fields.service:
         target = LocalTarget(fields.app, ServiceName(fields.service))
@@ -174,7 +226,7 @@
 
 
 def make_bounds(fields: BoundFields) -> Bounds:
-    """Return the operators' limits in seconds."""
+    """Return the operators' limits with times in seconds."""
     return Bounds(
         stop_seconds=fields.grace_s,
         leaving_seconds=fields.drain_ms * MILLISECOND,
--- a/src/ridgecourse/platform/store.py
+++ b/src/ridgecourse/platform/store.py
@@ -1,4 +1,9 @@
-"""The platform's store: an append-only log with keyed topics, over HTTP."""
+"""HTTP client of the platform's store, an append-only log with keyed topics.
+
+Reads the records of a topic, either all from an offset on or the newest of each key,
+and appends records. A record that cannot be decoded is returned as broken, not dropped,
+so that it still replaces older records of its key.
+"""
 
 from base64 import b64decode
 from collections.abc import Callable, Iterator, Sequence
@@ -27,39 +32,40 @@
 from ridgecourse.platform.names import (
     BLOCKED_TOPIC,
     DECISIONS_TOPIC,
-    KEPT_TOPIC,
     LOG_APPEND_PATH,
     LOG_NEWEST_PATH,
     LOG_READ_PATH,
+    PINNED_TOPIC,
     TARGETS_TOPIC,
 )
 
-TOPICS = {
+TOPIC_NAMES = {
     Topic.DECISIONS: DECISIONS_TOPIC,
     Topic.TARGETS: TARGETS_TOPIC,
-    Topic.KEPT: KEPT_TOPIC,
+    Topic.KEPT: PINNED_TOPIC,
     Topic.BLOCKED: BLOCKED_TOPIC,
 }
-ANSWER_SECONDS = 1.0
-"""Longest wait for an answer beyond a requested one: the store answers in 4 ms,
-in some hundred when slow."""
-RECEIVING_SECONDS = 0.7
-"""Since a piece of 16 KB of an answer came, within which more is expected: so slow a
-link brings 23 KB a second."""
+ANSWER_TIMEOUT_SECONDS = 1.0
+"""Timeout of an answer, in addition to the wait that the request asks for. The store
+answers in 4 ms, or in some hundred ms when slow."""
+PIECE_TIMEOUT_SECONDS = 0.7
+"""Time after a piece of an answer within which the next piece is expected. Pieces have
+16 KB, which a link of 23 KB per second delivers in this time."""
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 MAX_READ_KB = 128
-"""Records in one answer: some configurations, or the heartbeats of many seconds. Who
-is further behind reads the newest record of each key, which takes less."""
+"""Maximum size of the records in one answer, in KB: enough for several configurations,
+or for the heartbeats of many seconds. A process that is further behind reads the newest
+record of each key, which is less data."""
 NO_KEY = ""
-"""Key of records whose own cannot be told; nothing has it."""
-HEAD_BYTES = 16
-"""Bytes of an answer before its first record."""
-LENGTH_BYTES = 4
-"""Bytes that tell a record's length."""
+"""Key of records whose own key cannot be decoded. No valid record has this key."""
+HEADER_BYTES = 16
+"""Size of the header of an answer, before its first record."""
+LENGTH_PREFIX_BYTES = 4
+"""Size of the length that precedes each record."""
 
 
 class ItemKey(Struct):
-    """The key of a record, whatever else stands beside it."""
+    """The key of a record. Other fields are ignored, so they may be invalid."""
 
     key: str = field(name="key_file")
 
@@ -68,9 +74,10 @@
     """The newest record of a key.
 
     Attributes:
-        key: The key; the platform calls it a file, which it is not.
-        value: The record's value in base64.
-        offset: Its position.
+        key: Key of the record. Despite the platform's name for this field it is not a
+            file.
+        value: Value of the record in base64.
+        offset: Position of the record in the topic.
     """
 
     key: str = field(name="key_file")
@@ -82,9 +89,10 @@
     """A page of newest records.
 
     Attributes:
-        items: The records, each read apart: one that cannot be leaves the others.
-        end_offset: End of the topic.
-        truncated: Whether there are more.
+        items: The records, each decoded separately, so that an invalid record does not
+            affect the others.
+        end_offset: Offset after the last record of the topic.
+        truncated: Whether there are further pages.
     """
 
     items: list[Raw]
@@ -96,126 +104,161 @@
     """An answer of the store.
 
     Attributes:
-        status: Its status.
-        data: Its body.
-        took: Seconds from the first piece of the body to the last.
+        status: HTTP status.
+        data: Body of the answer.
+        transfer_seconds: Time from the first piece of the body to the last, in seconds.
     """
 
     status: int
     data: bytes
-    took: float
+    transfer_seconds: float
 
 
 class PlatformStore(RecordSource):
     """Client of the store.
 
     Attributes:
-        address: HOST:PORT.
-        calls: Calls made so far; each has a price.
-        received_at: When a piece of the answer in progress came, by topic.
+        address: HOST:PORT of the store.
+        http: Client for the calls.
+        calls: Number of calls so far. Each call has a cost.
+        last_piece_at: Time of the last piece of the answer in progress, by topic. After
+            an answer with a long transfer, the entry stays for the next answer.
     """
 
     def __init__(self, address: str, http: HttpClient) -> None:
         self.address = address
         self.http = http
         self.calls = 0
-        self.received_at: dict[Topic, float] = {}
+        self.last_piece_at: dict[Topic, float] = {}
 
     def newest(self, topic: Topic) -> RecordBatch:
         """Return the newest record of each key; see ``RecordSource``."""
-        asked = boottime()
+        asked_at = boottime()
         pages = list(self._newest_pages(topic))
         records = [
-            read_item(item, page.end_offset) for page, _ in pages for item in page.items
+            decode_item(item, page.end_offset)
+            for page, _ in pages
+            for item in page.items
         ]
-        took = sum(took for _, took in pages)
-        # The pages are no snapshot: what changed meanwhile is read again.
+        transfer_seconds = sum(transfer_seconds for _, transfer_seconds in pages)
+        # The pages are no snapshot. Reading continues at the end of the first page, so
+        # that records appended since then are read again.
         end = Offset(pages[0][0].end_offset)
-        read_at = Seconds(boottime() - took)
-        return RecordBatch(records, end, asked, took=took, read_at=read_at)
+        read_at = Seconds(boottime() - transfer_seconds)
+        return RecordBatch(
+            records, end, asked_at, took=transfer_seconds, read_at=read_at
+        )
 
     def _newest_pages(self, topic: Topic) -> Iterator[tuple[NewestPage, float]]:
-        """Yield the pages, and the seconds for which each was on its way."""
-        after = ""
+        """Yield the pages, each with its transfer time in seconds.
+
+        Raises:
+            SourceUnavailable: The store gave no usable answer.
+        """
+        after_key = ""
         while True:
-            query: dict[str, Any] = {"topic": TOPICS[topic], "part": 0}
-            if after:
-                query["after_revision"] = after
-            status, data, took = self._receive(topic, LOG_NEWEST_PATH, query)
+            query: dict[str, Any] = {"topic": TOPIC_NAMES[topic], "part": 0}
+            if after_key:
+                query["after_revision"] = after_key
+            status, data, transfer_seconds = self._receive(
+                topic, LOG_NEWEST_PATH, query
+            )
             if status != 200:
-                raise SourceUnavailable(f"status {status}")
+                raise SourceUnavailable(f"status {status}, expected 200")
             try:
                 page = decode(data, type=NewestPage)
             except (DecodeError, RecursionError) as error:
                 raise SourceUnavailable(str(error)) from error
-            yield page, took
+            yield page, transfer_seconds
             if not page.truncated or not page.items:
                 return
-            after = find_next_key(page, after)
+            after_key = find_next_key(page, after_key)
 
     def read(self, topic: Topic, start: Offset, wait: float) -> RecordBatch:
-        """Return records from an offset on; see ``RecordSource``."""
+        """Return the records from an offset on; see ``RecordSource``."""
         query = {
-            "topic": TOPICS[topic],
+            "topic": TOPIC_NAMES[topic],
             "part": 0,
             "from": start,
             "wait_ms": int(wait * 1000),
             "max_kb": MAX_READ_KB,
         }
-        asked = boottime()
-        status, data, took = self._receive(topic, LOG_READ_PATH, query, wait)
+        asked_at = boottime()
+        status, data, transfer_seconds = self._receive(
+            topic, LOG_READ_PATH, query, wait
+        )
         if status == 410:
-            raise RecordsGone(f"from {start}")
+            raise RecordsGone(f"offset {start} precedes the first retained record")
         if status != 200:
-            raise SourceUnavailable(f"status {status}")
+            raise SourceUnavailable(f"status {status}, expected 200")
         try:
             records, end = decode_records(data, start)
         except (StructError, ValueError) as error:
-            raise SourceUnavailable(f"no records: {error}") from error
+            raise SourceUnavailable(
+                f"invalid records in the answer: {error}"
+            ) from error
         now = boottime()
-        heard = heard_at(asked, now, wait, not records)
-        past = Offset(start + len(records)) if records else Offset(max(start, end))
-        behind = max(0, end - past)
-        read_at = Seconds(now - took)
+        confirmed = heard_at(asked_at, now, wait, not records)
+        next_offset = (
+            Offset(start + len(records)) if records else Offset(max(start, end))
+        )
+        behind = max(0, end - next_offset)
+        read_at = Seconds(now - transfer_seconds)
         return RecordBatch(
-            records, past, heard, behind=behind, took=took, read_at=read_at
+            records,
+            next_offset,
+            confirmed,
+            behind=behind,
+            took=transfer_seconds,
+            read_at=read_at,
         )
 
     def is_receiving(self, topic: Topic) -> bool:
-        """Tell whether an answer is on its way here; see ``RecordSource``."""
-        received_at = self.received_at.get(topic)
-        return received_at is not None and boottime() - received_at < RECEIVING_SECONDS
+        """Check whether an answer is being received; see ``RecordSource``."""
+        last_piece_at = self.last_piece_at.get(topic)
+        return (
+            last_piece_at is not None
+            and boottime() - last_piece_at < PIECE_TIMEOUT_SECONDS
+        )
 
     def _receive(
         self, topic: Topic, path: str, query: dict[str, Any], wait: float = 0.0
     ) -> StoreAnswer:
-        """Read from a topic, and note what comes of the answer meanwhile."""
-        began_at = None
+        """Read from a topic and record the time of each piece of the answer.
 
-        def note() -> None:
-            nonlocal began_at
-            self.received_at[topic] = boottime()
-            began_at = began_at or boottime()
+        Raises:
+            SourceUnavailable: The store gave no answer.
+        """
+        first_piece_at = None
 
-        took = 0.0
+        def record_piece() -> None:
+            nonlocal first_piece_at
+            self.last_piece_at[topic] = boottime()
+            first_piece_at = first_piece_at or boottime()
+
+        transfer_seconds = 0.0
         try:
-            status, data = self._call("GET", path, query, wait, on_piece=note)
-            took = 0.0 if began_at is None else boottime() - began_at
+            status, data = self._call("GET", path, query, wait, on_piece=record_piece)
+            transfer_seconds = (
+                0.0 if first_piece_at is None else boottime() - first_piece_at
+            )
         finally:
-            # The next long one, after a pause for others, counts as on its way already.
-            if took < LONG_ANSWER_SECONDS:
-                self.received_at.pop(topic, None)
-        return StoreAnswer(status, data, took)
+            # After a long transfer the time of the last piece stays: the next answer is
+            # probably long as well. It is requested after a pause, in which other
+            # processes use the link, and already counts as being received.
+            if transfer_seconds < LONG_ANSWER_SECONDS:
+                self.last_piece_at.pop(topic, None)
+        return StoreAnswer(status, data, transfer_seconds)
 
     def append(self, topic: Topic, key: str, value: bytes, end: Offset) -> None:
-        """Write a record; see ``RecordSource``."""
-        query = {"topic": TOPICS[topic], "part": 0, "current_rev": end}
+        """Append a record; see ``RecordSource``."""
+        query = {"topic": TOPIC_NAMES[topic], "part": 0, "current_rev": end}
         body = encode_record(key, value)
         status, _ = self._call("POST", LOG_APPEND_PATH, query, body=body)
         if status == 412:
-            raise TopicGrown(f"not at {end}")
+            raise TopicGrown(f"the topic does not end at offset {end}")
         if status != 200:
-            raise SourceUnavailable(f"status {status}")
+            raise SourceUnavailable(f"status {status}, expected 200")
 
     def _call(
         self,
@@ -234,7 +277,7 @@
                 self.address,
                 target,
                 body,
-                timeout=wait + ANSWER_SECONDS,
+                timeout=wait + ANSWER_TIMEOUT_SECONDS,
                 limit=MAX_ANSWER_BYTES,
                 on_piece=on_piece,
             )
@@ -244,44 +287,54 @@
 
 
 def encode_record(key: str, value: bytes) -> bytes:
-    """Encode a record of a keyed topic."""
-    name = key.encode()
-    record = bytes([len(name)]) + name + value
+    """Return the encoding of a record of a keyed topic; see ``decode_records``."""
+    key_bytes = key.encode()
+    record = bytes([len(key_bytes)]) + key_bytes + value
     return pack(">I", len(record)) + record
 
 
-def find_next_key(page: NewestPage, after: str) -> str:
+def find_next_key(page: NewestPage, after_key: str) -> str:
     """Return the key after which the next page begins.
 
+    Args:
+        page: The last page that was read.
+        after_key: The key after which ``page`` begins; empty for the first page.
+
     Raises:
-        SourceUnavailable: The page names none beyond the one that it began after.
+        SourceUnavailable: The page has no key other than ``after_key``, so that reading
+            cannot continue.
     """
     for item in reversed(page.items):
-        key = read_key(item)
-        if key not in (NO_KEY, after):
+        key = decode_key(item)
+        if key not in (NO_KEY, after_key):
             return key
-    raise SourceUnavailable("a page without a key to go on from")
+    raise SourceUnavailable(
+        "the page of newest records has no key from which the next page could continue"
+    )
 
 
-def read_item(item: Raw, end: int) -> KeyedRecord:
-    """Return a record of a page of newest records.
+def decode_item(item: Raw, end: int) -> KeyedRecord:
+    """Decode a record of a page of newest records.
 
     Args:
-        item: The record as it stands in the page.
-        end: The topic's end as the page tells it. A record that cannot be read is
-            taken for the last before it: that replaces what was known of its key, and
-            whatever is written next replaces it.
+        item: The encoded record.
+        end: End of the topic according to the page. A record that cannot be decoded
+            gets the last offset before this end. It then replaces the known record of
+            its key, and the next record written for the key replaces it.
+
+    Returns:
+        The record, marked as broken if it cannot be decoded.
     """
     try:
         fields = decode(item, type=NewestItem)
         value = b64decode(fields.value, validate=True)
     except (ValueError, RecursionError) as error:
-        return KeyedRecord(read_key(item), b"", Offset(max(0, end - 1)), str(error))
+        return KeyedRecord(decode_key(item), b"", Offset(max(0, end - 1)), str(error))
     return KeyedRecord(fields.key, value, Offset(fields.offset))
 
 
-def read_key(item: Raw) -> str:
-    """Return the key of a record of a page, ``NO_KEY`` where it has none."""
+def decode_key(item: Raw) -> str:
+    """Return the key of a record of a page, or ``NO_KEY`` if it has no valid key."""
     try:
         return decode(item, type=ItemKey).key
     except (DecodeError, RecursionError):
@@ -289,45 +342,53 @@
 
 
 def decode_records(data: bytes, start: Offset) -> tuple[Sequence[KeyedRecord], Offset]:
-    """Return the records of a keyed topic, and its end.
+    """Decode an answer with records of a keyed topic.
+
+    The answer starts with the end offset of the topic and the first retained offset, 8
+    bytes each. Each record has 4 bytes with its length, 1 byte with the length of the
+    key, the key and the value. If the answer is cut off within a record, the complete
+    records before it are returned.
+
+    Args:
+        data: Body of the answer.
+        start: Offset of the first record.
 
-    The bytes are the end of the topic and the first offset kept, 8 bytes each,
-    then records: 4 bytes of length, 1 byte of the key's length, key, value. Of an
-    answer that breaks off, the whole records are returned.
+    Returns:
+        The records and the end offset of the topic.
 
     Raises:
-        struct.error: The bytes end before the first record.
-        ValueError: They end within it.
+        struct.error: The answer ends before the first record.
+        ValueError: The answer ends within the first record.
     """
-    end, _first_kept = unpack_from(">QQ", data)
-    bodies = list(split_records(data[HEAD_BYTES:]))
-    if len(data) > HEAD_BYTES and not bodies:
+    end, _first_retained = unpack_from(">QQ", data)
+    bodies = list(split_records(data[HEADER_BYTES:]))
+    if len(data) > HEADER_BYTES and not bodies:
         raise ValueError("the answer ends within its first record")
     records = [
-        read_record(body, Offset(start + index)) for index, body in enumerate(bodies)
+        decode_record(body, Offset(start + index)) for index, body in enumerate(bodies)
     ]
     return records, Offset(end)
 
 
 def split_records(data: bytes) -> Iterator[bytes]:
-    """Yield the whole records of an answer, without their lengths."""
+    """Yield the complete records of an answer, without their length prefixes."""
     position = 0
-    while position + LENGTH_BYTES <= len(data):
+    while position + LENGTH_PREFIX_BYTES <= len(data):
         (length,) = unpack_from(">I", data, position)
-        position += LENGTH_BYTES + length
+        position += LENGTH_PREFIX_BYTES + length
         if position > len(data):
             return
         yield data[position - length : position]
 
 
-def read_record(body: bytes, offset: Offset) -> KeyedRecord:
-    """Return a record of a keyed topic, marked as broken where it has no key."""
+def decode_record(body: bytes, offset: Offset) -> KeyedRecord:
+    """Decode a record of a keyed topic; without a valid key it is marked as broken."""
     key_end = 1 + body[0] if body else 1
-    name = body[1:key_end]
+    key_bytes = body[1:key_end]
     if len(body) < key_end:
         return KeyedRecord(NO_KEY, b"", offset, "the record ends within its key")
     try:
-        return KeyedRecord(name.decode(), body[key_end:], offset)
+        return KeyedRecord(key_bytes.decode(), body[key_end:], offset)
     except UnicodeDecodeError as error:
-        key = name.decode(errors="backslashreplace")
+        key = key_bytes.decode(errors="backslashreplace")
         return KeyedRecord(key, b"", offset, str(error))
