--- a/src/ridgecourse/entry/__init__.py
+++ b/src/ridgecourse/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry process: callers, administration and routing."""
+"""The entry process: client requests, the administration API and routing."""
--- a/src/ridgecourse/entry/admin.py
+++ b/src/ridgecourse/entry/admin.py
@@ -1,4 +1,8 @@
-"""The administration API: one RPC for each operator decision."""
+"""The administration API: one RPC for each type of configuration change.
+
+Each RPC authenticates the operator, checks the arguments, appends the change to
+the log and returns the outcome that the log decides.
+"""
 
 from collections.abc import Iterable
 from typing import Any
@@ -60,7 +64,7 @@
 
 
 class AdminService(AdminSync):
-    """Implements the schema's service."""
+    """Implements the RPCs of the administration schema."""
 
     def __init__(
         self, context: EntryContext, writer: ChangeWriter, reports: ReportCollector
@@ -69,13 +73,14 @@
         self.writer = writer
         self.reports = reports
 
-    # Who may call.
+    # Authentication.
 
-    def _operator(self, ctx: Any, role: Role) -> OperatorSettings:
-        """Return the operator who calls.
+    def _authenticate_operator(self, ctx: Any, role: Role) -> OperatorSettings:
+        """Return the operator that sent a call.
 
         Raises:
-            ConnectError: There is no such operator, or it may not do this.
+            ConnectError: No operator has the call's token, or the operator's
+                role does not permit the call.
         """
         header = ctx.request_headers.get("authorization") or ""
         digest = token_digest(bearer_token(header))
@@ -90,19 +95,21 @@
     def _submit(
         self, ctx: Any, header: pb.ChangeHeader | None, change: AnyChange
     ) -> pb.ChangeReply:
-        operator = self._operator(ctx, Role.OPERATOR)
+        operator = self._authenticate_operator(ctx, Role.OPERATOR)
         header = header or pb.ChangeHeader()
-        expected = header.expected_revision if _has_expected(header) else None
+        expected = header.expected_revision if _has_expected_revision(header) else None
         record = ChangeRecord(
             ChangeId(header.change_id or uuid4().hex), operator.name, change, expected
         )
-        seconds = header.deadline_ms / 1000.0 or DEFAULT_DEADLINE_SECONDS
-        return make_reply(record.change_id, self.writer.submit(record, seconds))
+        timeout_seconds = header.deadline_ms / 1000.0 or DEFAULT_DEADLINE_SECONDS
+        return make_change_reply(
+            record.change_id, self.writer.submit(record, timeout_seconds)
+        )
 
     # Changes.
 
     def create_fleet(self, request: pb.CreateFleetRequest, ctx: Any) -> pb.ChangeReply:
-        """Create a fleet or set its origin copies."""
+        """Create a fleet, or set the origin copies of an existing fleet."""
         fleet = check_name("fleet", request.fleet)
         change = CreateFleet(FleetName(fleet), request.origin_copies or 1)
         return self._submit(ctx, request.header, change)
@@ -111,7 +118,9 @@
         """Create a service."""
         kinds = [kind.value for kind in ServiceKind]
         if request.kind not in kinds:
-            raise invalid("kind", request.kind, f"one of {', '.join(kinds)}")
+            raise invalid_field_error(
+                "kind", request.kind, f"one of {', '.join(kinds)}"
+            )
         change = PutService(
             FleetName(check_name("fleet", request.fleet)),
             ServiceName(check_name("service", request.service)),
@@ -122,9 +131,11 @@
     def publish_version(
         self, request: pb.PublishVersionRequest, ctx: Any
     ) -> pb.ChangeReply:
-        """Make a version known."""
+        """Register a model version."""
         if not is_digest(request.root_digest):
-            raise invalid("root_digest", request.root_digest, "a BLAKE3 digest")
+            raise invalid_field_error(
+                "root_digest", request.root_digest, "a BLAKE3 digest"
+            )
         change = PublishVersion(
             FleetName(check_name("fleet", request.fleet)),
             ModelName(check_name("model", request.model)),
@@ -136,7 +147,7 @@
         return self._submit(ctx, request.header, change)
 
     def place(self, request: pb.PlaceRequest, ctx: Any) -> pb.ChangeReply:
-        """Make a service serve a version."""
+        """Start the rollout of a version to a service."""
         change = Place(
             FleetName(check_name("fleet", request.fleet)),
             ServiceName(check_name("service", request.service)),
@@ -146,19 +157,19 @@
         return self._submit(ctx, request.header, change)
 
     def roll_back(self, request: pb.RollBackRequest, ctx: Any) -> pb.ChangeReply:
-        """Make a service serve the version placed before."""
+        """Start the rollout of the version that was placed before."""
         fleet = FleetName(check_name("fleet", request.fleet))
         service = ServiceName(check_name("service", request.service))
         return self._submit(ctx, request.header, RollBack(fleet, service))
 
     def abort(self, request: pb.AbortRequest, ctx: Any) -> pb.ChangeReply:
-        """Stop a rollout where it is."""
+        """Stop a rollout; each target keeps its present version."""
         fleet = FleetName(check_name("fleet", request.fleet))
         service = ServiceName(check_name("service", request.service))
         return self._submit(ctx, request.header, Abort(fleet, service))
 
     def join_target(self, request: pb.JoinTargetRequest, ctx: Any) -> pb.ChangeReply:
-        """Add a target."""
+        """Add a target to a service."""
         change = JoinTarget(
             FleetName(check_name("fleet", request.fleet)),
             ServiceName(check_name("service", request.service)),
@@ -176,7 +187,7 @@
         return self._submit(ctx, request.header, LeaveTarget(fleet, target))
 
     def set_traffic(self, request: pb.SetTrafficRequest, ctx: Any) -> pb.ChangeReply:
-        """Set the share of each failure domain."""
+        """Set the traffic weight of each failure domain."""
         weights = {DomainName(name): weight for name, weight in request.weights.items()}
         change = SetTraffic(
             FleetName(check_name("fleet", request.fleet)),
@@ -188,7 +199,9 @@
     def put_account(self, request: pb.PutAccountRequest, ctx: Any) -> pb.ChangeReply:
         """Create or change a client account."""
         if not is_digest(request.key_digest):
-            raise invalid("key_digest", request.key_digest, "a BLAKE3 digest")
+            raise invalid_field_error(
+                "key_digest", request.key_digest, "a BLAKE3 digest"
+            )
         change = PutAccount(
             FleetName(check_name("fleet", request.fleet)),
             AccountName(check_name("account", request.account)),
@@ -202,27 +215,27 @@
     # Reading.
 
     def get_change(self, request: pb.GetChangeRequest, ctx: Any) -> pb.ChangeReply:
-        """Tell the fate of a change."""
-        self._operator(ctx, Role.VIEWER)
+        """Return the outcome of a change."""
+        self._authenticate_operator(ctx, Role.VIEWER)
         change_id = ChangeId(check_name("change_id", request.change_id))
-        return make_reply(change_id, self.writer.fate(change_id))
+        return make_change_reply(change_id, self.writer.outcome(change_id))
 
     def show(self, request: pb.ShowRequest, ctx: Any) -> pb.ShowReply:
-        """Tell the configuration of a fleet, or of all."""
-        self._operator(ctx, Role.VIEWER)
+        """Return the configuration of one fleet, or of all fleets."""
+        self._authenticate_operator(ctx, Role.VIEWER)
         state = self.context.config.state
         objects = [
-            make_view(found)
-            for found in fleet_objects(state)
-            if request.fleet in ("", found.fleet)
+            make_object_view(config_object)
+            for config_object in iter_config_objects(state)
+            if request.fleet in ("", config_object.fleet)
         ]
         return pb.ShowReply(offset=state.offset, digest=state.digest(), objects=objects)
 
     def show_rollout(
         self, request: pb.ShowRolloutRequest, ctx: Any
     ) -> pb.ShowRolloutReply:
-        """Tell how far each target of a service is."""
-        self._operator(ctx, Role.VIEWER)
+        """Return the rollout progress of each target of a service."""
+        self._authenticate_operator(ctx, Role.VIEWER)
         state = self.context.config.state
         fleet, service_name = FleetName(request.fleet), ServiceName(request.service)
         service = state.services.get((fleet, service_name))
@@ -231,7 +244,7 @@
             raise ConnectError(Code.NOT_FOUND, message)
         reports = self.reports.collect(fleet, service_name)
         targets = [
-            make_progress(target, reports.get(target.target))
+            make_target_progress(target, reports.get(target.target))
             for target in state.service_targets(fleet, service_name)
         ]
         placed = service.placed
@@ -245,12 +258,12 @@
         )
 
 
-def _has_expected(header: pb.ChangeHeader) -> bool:
+def _has_expected_revision(header: pb.ChangeHeader) -> bool:
     return header.has_field("expected_revision")
 
 
-def make_reply(change_id: ChangeId, outcome: ChangeOutcome) -> pb.ChangeReply:
-    """Return a change's fate as the schema has it."""
+def make_change_reply(change_id: ChangeId, outcome: ChangeOutcome) -> pb.ChangeReply:
+    """Convert the outcome of a change to its schema message."""
     return pb.ChangeReply(
         change_id=change_id,
         status=STATUS_TO_WIRE[outcome.status],
@@ -260,16 +273,18 @@
     )
 
 
-def make_progress(target: Target, known: TargetReport | None) -> pb.TargetProgress:
-    """Return a target's progress as the schema has it."""
-    if known is None:
+def make_target_progress(
+    target: Target, target_report: TargetReport | None
+) -> pb.TargetProgress:
+    """Convert a target's report to its schema message."""
+    if target_report is None:
         return pb.TargetProgress(
             target=target.target,
             domain=target.domain,
             leaving=target.leaving,
             report_age_ms=-1,
         )
-    report = known.report
+    report = target_report.report
     return pb.TargetProgress(
         target=target.target,
         domain=target.domain,
@@ -281,21 +296,21 @@
         ready=report.ready,
         leaving=target.leaving,
         in_flight=report.in_flight,
-        report_age_ms=known.age_ms,
+        report_age_ms=target_report.age_ms,
     )
 
 
-def make_view(found: AnyObject) -> pb.ObjectView:
-    """Return an object of the configuration as the schema has it."""
-    kind = type(found).__name__.lower()
-    name = getattr(found, kind)
-    fields = encode(to_builtins(found)).decode()
+def make_object_view(config_object: AnyObject) -> pb.ObjectView:
+    """Convert a configuration object to its schema message."""
+    kind = type(config_object).__name__.lower()
+    name = getattr(config_object, kind)
+    fields = encode(to_builtins(config_object)).decode()
     return pb.ObjectView(
-        kind=kind, name=name, revision=found.revision, fields_json=fields
+        kind=kind, name=name, revision=config_object.revision, fields_json=fields
     )
 
 
-def fleet_objects(state: ConfigState) -> Iterable[AnyObject]:
+def iter_config_objects(state: ConfigState) -> Iterable[AnyObject]:
     """Yield all objects of the configuration."""
     yield from state.fleets.values()
     yield from state.services.values()
@@ -305,30 +320,33 @@
 
 
 def check_name(field: str, text: str) -> str:
-    """Return a name.
+    """Return a name unchanged if it is valid.
 
     Raises:
-        ConnectError: It is empty, too long or has a character not allowed.
+        ConnectError: The name is empty, longer than ``MAX_NAME_LENGTH``, or has
+            a character that is not allowed.
     """
     allowed = all(char.isalnum() or char in "-_.:" for char in text)
     if not 0 < len(text) <= MAX_NAME_LENGTH or not allowed:
-        raise invalid(field, text, "letters, digits, '-', '_', '.' and ':'")
+        raise invalid_field_error(field, text, "letters, digits, '-', '_', '.' and ':'")
     return text
 
 
 def check_address(field: str, text: str) -> str:
-    """Return an address.
+    """Return an address in its normalized form.
 
     Raises:
-        ConnectError: It is none.
+        ConnectError: The text is not a HOST:PORT address.
     """
     try:
         return str(parse_address(text))
     except ValueError as error:
-        raise invalid(field, text, "HOST:PORT with a numeric host") from error
+        raise invalid_field_error(
+            field, text, "HOST:PORT with a numeric host"
+        ) from error
 
 
-def invalid(field: str, found: str, expected: str) -> ConnectError:
-    """Return the error for a field that does not fit."""
-    message = f"{field}: found {found!r}, expected {expected}"
+def invalid_field_error(field: str, actual: str, expected: str) -> ConnectError:
+    """Return the error for a field with an invalid value."""
+    message = f"{field}: found {actual!r}, expected {expected}"
     return ConnectError(Code.INVALID_ARGUMENT, message)
--- a/src/ridgecourse/entry/attempt.py
+++ b/src/ridgecourse/entry/attempt.py
@@ -1,4 +1,9 @@
-"""One try of a request at one target, and what it proves."""
+"""One attempt to run a request at one target.
+
+The result of an attempt states what is proven about the request. A refusal by the
+agent, or a connection that could not be opened, proves that the request was not
+run. An exchange that fails later leaves the outcome unknown.
+"""
 
 from contextlib import closing
 from typing import NamedTuple
@@ -37,50 +42,51 @@
 )
 
 ANSWER_GRACE_SECONDS = 0.25
-"""An agent that refuses at the deadline gets this long for its proof to arrive."""
-FENCE_SECONDS = 2.0
+"""Extra wait, in seconds, for the refusal that an agent sends at the deadline."""
+AGENT_REPLY_TIMEOUT_SECONDS = 2.0
 
 
 class Refused(NamedTuple):
     """Proof that the request was not run.
 
     Attributes:
-        reason: Why.
-        retry_after: Seconds after which to come back, 0 if not told.
-        blame: Whether the target failed rather than refused.
+        reason: Why the request was not run.
+        retry_after: Seconds that the client should wait before a retry; 0 if
+            the agent named no time.
+        target_failed: Whether the target failed rather than refused.
     """
 
     reason: Reason
     retry_after: float = 0.0
-    blame: bool = False
+    target_failed: bool = False
 
 
-class Lost(NamedTuple):
-    """Whether the request was run is not known."""
+class OutcomeUnknown(NamedTuple):
+    """The attempt does not show whether the request was run."""
 
     reason: Reason
     detail: str
 
 
-class Whole(NamedTuple):
-    """A whole answer."""
+class CompleteAnswer(NamedTuple):
+    """A complete, non-streamed answer."""
 
     status: int
     body: bytes
 
 
-class Streaming(NamedTuple):
-    """A streamed answer that has begun."""
+class StreamStarted(NamedTuple):
+    """A streamed answer whose headers have arrived."""
 
     response: BaseHTTPResponse
     version: str
 
 
-AttemptResult = Refused | Lost | Whole | Streaming
+AttemptResult = Refused | OutcomeUnknown | CompleteAnswer | StreamStarted
 
 
-class Attempter:
-    """Sends requests to agents and reads their proofs."""
+class AttemptSender:
+    """Sends requests to agents and classifies their responses."""
 
     def __init__(self, context: EntryContext) -> None:
         self.context = context
@@ -95,25 +101,26 @@
         start_at: int = 0,
         version: str = "",
     ) -> AttemptResult:
-        """Try a request at a target.
+        """Send a request to a target and return the result of the attempt.
 
         Args:
             call: The request.
-            target: Where to send it.
-            view: What is known of its agent.
-            request_id: Names this start of the request.
-            start_at: Tokens the caller already has.
-            version: Root digest that must answer; empty for any.
+            target: The target to send the request to.
+            view: This entry's state of the target's agent.
+            request_id: Identifies this start of the request at the agent.
+            start_at: Number of tokens that the client already has.
+            version: Root digest of the version that must answer; empty for any
+                version.
         """
-        left = call.deadline - boottime()
-        if left <= 0:
+        remaining = call.deadline - boottime()
+        if remaining <= 0:
             return Refused(Reason.DEADLINE)
         work = Work(
             request_id,
             call.account.account,
             call.account.priority,
             call.account.weight,
-            int(left * 1000),
+            int(remaining * 1000),
             call.body,
             start_at,
             version,
@@ -129,45 +136,50 @@
                 target.address,
                 WORK_PATH,
                 body,
-                self._signed(WORK_PATH, body),
-                left + ANSWER_GRACE_SECONDS,
+                self._signed_headers(WORK_PATH, body),
+                remaining + ANSWER_GRACE_SECONDS,
                 fresh=True,
             )
-            return self._read(call, view, response)
+            return self._classify_response(call, view, response)
         except NoConnection:
-            return Refused(Reason.TARGET_LOST, blame=True)
+            return Refused(Reason.TARGET_LOST, target_failed=True)
         except ExchangeFailed as error:
-            return Lost(Reason.TARGET_LOST, str(error))
+            return OutcomeUnknown(Reason.TARGET_LOST, str(error))
 
-    def _signed(self, path: str, body: bytes) -> dict[str, str]:
+    def _signed_headers(self, path: str, body: bytes) -> dict[str, str]:
         key = self.context.settings.shared_key
         return {AUTH_HEADER: sign_request(key, "POST", path, body)}
 
-    def _read(
+    def _classify_response(
         self, call: Call, view: AgentView, response: BaseHTTPResponse
     ) -> AttemptResult:
-        load = response.headers.get(LOAD_HEADER, "")
-        if load.isdecimal():
-            view.load.report(int(load), view.load.reported_at)
+        reported_load = response.headers.get(LOAD_HEADER, "")
+        if reported_load.isdecimal():
+            view.load.report(int(reported_load), view.load.reported_at)
         outcome = response.headers.get(OUTCOME_HEADER, "")
-        reason = read_reason(response.headers.get(REASON_HEADER, ""))
+        reason = parse_reason(response.headers.get(REASON_HEADER, ""))
         if outcome == Outcome.NOT_RUN.value:
             with closing(response):
-                return Refused(reason, read_seconds(response, RETRY_AFTER_HEADER))
+                return Refused(reason, parse_seconds(response, RETRY_AFTER_HEADER))
         if outcome == Outcome.COMPLETED.value:
             with closing(response):
                 body = b"".join(read_pieces(response, MAX_ANSWER_BYTES))
-                return Whole(response.status, body)
+                return CompleteAnswer(response.status, body)
         if response.status == 200 and not outcome:
             version = response.headers.get(VERSION_HEADER, "")
-            return Streaming(response, version)
+            return StreamStarted(response, version)
         with closing(response):
-            return Lost(reason, f"status {response.status}")
+            return OutcomeUnknown(reason, f"status {response.status}")
 
     def fence(
         self, target: Target, request_id: RequestId, incarnation: Incarnation
     ) -> FenceReply | None:
-        """Ask an agent never to start a request; None if it cannot be reached."""
+        """Ask an agent never to start a request.
+
+        Returns:
+            The agent's reply; None if the agent cannot be reached or sends no
+            valid reply.
+        """
         body = encode_message(FenceRequest(request_id, incarnation))
         try:
             status, data, _ = self.http.fetch(
@@ -175,8 +187,8 @@
                 target.address,
                 FENCE_PATH,
                 body,
-                self._signed(FENCE_PATH, body),
-                FENCE_SECONDS,
+                self._signed_headers(FENCE_PATH, body),
+                AGENT_REPLY_TIMEOUT_SECONDS,
             )
         except (NoConnection, ExchangeFailed):
             return None
@@ -185,11 +197,19 @@
             return None
         return decoded.unwrap()
 
-    def identify(self, target: Target) -> Incarnation | None:
-        """Ask an agent which life it is in; None if it cannot be reached."""
+    def fetch_incarnation(self, target: Target) -> Incarnation | None:
+        """Return an agent's incarnation.
+
+        Returns:
+            The incarnation; None if the agent cannot be reached or sends no
+            valid reply.
+        """
         try:
             status, data, _ = self.http.fetch(
-                "GET", target.address, IDENTITY_PATH, timeout=FENCE_SECONDS
+                "GET",
+                target.address,
+                IDENTITY_PATH,
+                timeout=AGENT_REPLY_TIMEOUT_SECONDS,
             )
         except (NoConnection, ExchangeFailed):
             return None
@@ -203,16 +223,16 @@
         self.http.close()
 
 
-def read_reason(text: str) -> Reason:
-    """Return the reason that a header names."""
+def parse_reason(text: str) -> Reason:
+    """Return the reason in a header; ``ENGINE_FAILED`` if the value is invalid."""
     try:
         return Reason(text)
     except ValueError:
         return Reason.ENGINE_FAILED
 
 
-def read_seconds(response: BaseHTTPResponse, header: str) -> float:
-    """Return a header's value as seconds, 0 if it is none."""
+def parse_seconds(response: BaseHTTPResponse, header: str) -> float:
+    """Return a header's value in seconds; 0 if the value is not a number."""
     try:
         return max(0.0, float(response.headers.get(header, "0")))
     except ValueError:
--- a/src/ridgecourse/entry/call.py
+++ b/src/ridgecourse/entry/call.py
@@ -1,4 +1,8 @@
-"""A caller's request, checked."""
+"""Parsing and validation of client requests.
+
+``parse_call`` checks the path, the client account, the service and the headers of
+a request against the configuration before the request is dispatched.
+"""
 
 from typing import NamedTuple
 from uuid import uuid4
@@ -23,48 +27,55 @@
 DEFAULT_DEADLINE_MS = 30_000
 MAX_DEADLINE_MS = 600_000
 MAX_KEY_LENGTH = 200
-PREFIX_BYTES = 64
-"""Beginning of a prompt by which requests with a common prefix are kept together."""
+AFFINITY_PREFIX_BYTES = 64
+"""Length of the prompt prefix that is the affinity key of a request.
+
+The router keeps requests whose prompts share this prefix together.
+"""
 
 
 class Call(NamedTuple):
-    """A checked request.
+    """A validated client request.
 
     Attributes:
-        request_id: Given by the entry.
-        service: Where it goes.
-        account: Who sends it.
-        body: Its body.
-        received: When it came, on this process's clock.
-        deadline: When the caller gives up, on this process's clock.
-        repeatable: Whether it may run more than once.
-        key: The caller's idempotency key; then it runs at most once over all
-            entries.
+        request_id: Identifier that the entry assigned to the request.
+        service: The service that the request is for.
+        account: The client account that sent the request.
+        body: Body of the request.
+        received_at: Time of arrival, on this process's clock.
+        deadline: Time at which the client gives up, on this process's clock.
+        repeatable: Whether the request may run more than once.
+        key: The client's idempotency key; a request with a key runs at most
+            once over all entries.
     """
 
     request_id: RequestId
     service: Service
     account: Account
     body: bytes
-    received: float
+    received_at: float
     deadline: float
     repeatable: bool
     key: IdempotencyKey | None
 
-    def affinity(self) -> str:
-        """Return what requests with a common prefix have in common."""
+    def affinity_key(self) -> str:
+        """Return the key by which the router groups requests.
+
+        The key is the beginning of the prompt, and empty for services that are
+        not models.
+        """
         if self.service.kind is not ServiceKind.MODEL:
             return ""
-        return self.body[:PREFIX_BYTES].decode("utf-8", "replace")
+        return self.body[:AFFINITY_PREFIX_BYTES].decode("utf-8", "replace")
 
 
-class CallFault(NamedTuple):
-    """Why a request is not taken; it was not run.
+class CallRejection(NamedTuple):
+    """Why a request is invalid; the request was not run.
 
     Attributes:
-        status: HTTP status.
-        reason: For the caller's program.
-        detail: For a person.
+        status: HTTP status of the reply.
+        reason: Machine-readable reason.
+        detail: Explanation for a person.
     """
 
     status: int
@@ -74,40 +85,42 @@
 
 def parse_call(
     request: HttpRequest, config: ConfigState, now: float
-) -> Result[Call, CallFault]:
-    """Check a caller's request against the configuration.
+) -> Result[Call, CallRejection]:
+    """Check a client's request against the configuration.
 
     Args:
-        request: The request; its body is read here.
+        request: The HTTP request; its body is read.
         config: The configuration in force.
-        now: The present time.
+        now: The present time, on this process's clock.
 
     Returns:
-        The call, or why it is not taken.
+        The call, or why the request is invalid.
     """
-    parts = request.path.removeprefix(CALL_PREFIX).split("/")
-    if len(parts) != 2:
-        return _fault(404, Reason.UNKNOWN_SERVICE, "expected /v1/FLEET/SERVICE")
-    fleet, service_name = FleetName(parts[0]), ServiceName(parts[1])
+    path_segments = request.path.removeprefix(CALL_PREFIX).split("/")
+    if len(path_segments) != 2:
+        return _rejection(404, Reason.UNKNOWN_SERVICE, "expected /v1/FLEET/SERVICE")
+    fleet, service_name = FleetName(path_segments[0]), ServiceName(path_segments[1])
     token = bearer_token(request.header("Authorization"))
     account = config.find_account(fleet, token_digest(token))
     if not token or account is None:
-        return _fault(401, Reason.UNAUTHENTICATED, "no such account of this fleet")
+        return _rejection(401, Reason.UNAUTHENTICATED, "no such account of this fleet")
     service = config.services.get((fleet, service_name))
     if service is None:
-        return _fault(404, Reason.UNKNOWN_SERVICE, f"no service {fleet}/{service_name}")
-    milliseconds = request.header(DEADLINE_HEADER) or str(DEFAULT_DEADLINE_MS)
-    if not milliseconds.isdecimal() or not 0 < int(milliseconds) <= MAX_DEADLINE_MS:
-        text = f"{DEADLINE_HEADER} must be 1 to {MAX_DEADLINE_MS}"
-        return _fault(400, Reason.BAD_REQUEST, text)
+        return _rejection(
+            404, Reason.UNKNOWN_SERVICE, f"no service {fleet}/{service_name}"
+        )
+    deadline_ms = request.header(DEADLINE_HEADER) or str(DEFAULT_DEADLINE_MS)
+    if not deadline_ms.isdecimal() or not 0 < int(deadline_ms) <= MAX_DEADLINE_MS:
+        detail = f"{DEADLINE_HEADER} must be 1 to {MAX_DEADLINE_MS}"
+        return _rejection(400, Reason.BAD_REQUEST, detail)
     repeatable = request.header(REPEATABLE_HEADER, "no")
     if repeatable not in ("yes", "no"):
-        text = f"{REPEATABLE_HEADER} must be yes or no"
-        return _fault(400, Reason.BAD_REQUEST, text)
+        detail = f"{REPEATABLE_HEADER} must be yes or no"
+        return _rejection(400, Reason.BAD_REQUEST, detail)
     key = request.header(KEY_HEADER)
     if len(key) > MAX_KEY_LENGTH:
-        text = f"{KEY_HEADER} is over {MAX_KEY_LENGTH} characters"
-        return _fault(400, Reason.BAD_REQUEST, text)
+        detail = f"{KEY_HEADER} is over {MAX_KEY_LENGTH} characters"
+        return _rejection(400, Reason.BAD_REQUEST, detail)
     return Success(
         Call(
             RequestId(uuid4().hex),
@@ -115,12 +128,12 @@
             account,
             request.read_body(MAX_REQUEST_BYTES),
             now,
-            now + int(milliseconds) / 1000.0,
+            now + int(deadline_ms) / 1000.0,
             repeatable == "yes" and not key,
             IdempotencyKey(key) if key else None,
         )
     )
 
 
-def _fault(status: int, reason: Reason, detail: str) -> Failure[CallFault]:
-    return Failure(CallFault(status, reason, detail))
+def _rejection(status: int, reason: Reason, detail: str) -> Failure[CallRejection]:
+    return Failure(CallRejection(status, reason, detail))
--- a/src/ridgecourse/entry/config_follower.py
+++ b/src/ridgecourse/entry/config_follower.py
@@ -1,7 +1,9 @@
 """Keeps an entry's configuration up to date, from the log or from its peers.
 
-Also writes checkpoints, so that a starting process can begin where the log's
-retention has cut the oldest records off.
+The follower reads the log by long polling. While the log cannot be reached, it
+asks the other entries for newer configuration. It also writes checkpoints, so
+that a starting process can load the configuration after the log's retention has
+removed the oldest records.
 """
 
 import logging
@@ -29,18 +31,20 @@
 logger = logging.getLogger(__name__)
 
 POLL_SECONDS = 5.0
-"""Length of one long poll of the log."""
+"""Duration of one long poll of the log."""
 RETRY_SECONDS = 0.3
 PEER_POLL_SECONDS = 0.5
 CONFIG_PATH = "/internal/config"
 
 
 class ConfigFollower:
-    """Tails the configuration's stream.
+    """Follows the configuration stream of the log.
 
     Attributes:
-        log_lost: Whether the log was unreachable at the last try.
-        checkpoint_seen: When the newest checkpoint was noticed.
+        log_lost: Whether the log was unreachable at the last poll.
+        checkpoint_seen_at: Time at which the notice of the newest checkpoint
+            was read.
+        checkpoint_notice: The newest checkpoint notice seen so far.
     """
 
     def __init__(self, context: EntryContext) -> None:
@@ -48,17 +52,17 @@
         self.config = context.config
         self.peer_http = context.new_client(0.5)
         self.log_lost = False
-        self.checkpoint_seen = boottime()
-        self.checkpoint_known: CheckpointNotice | None = None
+        self.checkpoint_seen_at = boottime()
+        self.checkpoint_notice: CheckpointNotice | None = None
         self.threads: list[eventlet.greenthread.GreenThread] = []
 
     def start(self) -> None:
-        """Begin to follow the log, the peers and the age of checkpoints."""
-        for work in (self._follow_log, self._follow_peers, self._keep_checkpoints):
-            self.threads.append(spawn_loop(work))
+        """Start the threads that follow the log and the peers and write checkpoints."""
+        for loop in (self._follow_log, self._follow_peers, self._write_due_checkpoints):
+            self.threads.append(spawn_loop(loop))
 
     def close(self) -> None:
-        """Stop following."""
+        """Stop all threads and close idle connections."""
         for thread in self.threads:
             thread.kill()
         self.peer_http.close()
@@ -66,41 +70,50 @@
     def _follow_log(self) -> None:
         while True:
             try:
-                self.read_once(POLL_SECONDS)
-                self._note_log(lost=False)
+                self.poll_log(POLL_SECONDS)
+                self._record_log_state(lost=False)
             except LogUnavailable as error:
-                self._note_log(lost=True, detail=str(error))
+                self._record_log_state(lost=True, detail=str(error))
                 eventlet.sleep(RETRY_SECONDS)
 
-    def read_once(self, wait: float) -> None:
-        """Read and fold what the log has above the own offset.
+    def poll_log(self, wait: float) -> None:
+        """Read and apply the records that follow the entry's offset.
+
+        Args:
+            wait: Duration of the long poll, in seconds.
 
         Raises:
-            LogUnavailable: The log gave no usable answer.
+            LogUnavailable: The log sent no usable reply.
         """
         batch = self.context.log.read(Stream.CONFIG, self.config.offset, wait)
         if batch.truncated:
             self._restore_checkpoint(batch.earliest)
             return
         if batch.next < self.config.offset:
-            # An accepted change is never taken back, whatever the log says.
-            raise LogUnavailable(f"log ends at {batch.next}, before the own offset")
-        self._note_folded(self.config.fold(batch.first, batch.records))
+            # An accepted change is never undone, even if the log has lost it.
+            raise LogUnavailable(
+                f"log ends at offset {batch.next}, before the offset of this entry"
+            )
+        self._report_applied(self.config.fold(batch.first, batch.records))
 
     def _restore_checkpoint(self, earliest: Offset) -> None:
-        data = self.context.log.last(Stream.CHECKPOINTS)
-        if data is None:
-            raise LogUnavailable("records are gone and there is no checkpoint")
-        decoded = decode_message(data, ConfigSnapshot)
+        encoded = self.context.log.last(Stream.CHECKPOINTS)
+        if encoded is None:
+            raise LogUnavailable(
+                "log records were removed by retention and the log has no checkpoint"
+            )
+        decoded = decode_message(encoded, ConfigSnapshot)
         if isinstance(decoded, Failure):
-            raise LogUnavailable(f"bad checkpoint: {decoded.failure()}")
+            raise LogUnavailable(f"invalid checkpoint: {decoded.failure()}")
         self.config.restore(decoded.unwrap())
         if self.config.offset < earliest:
-            raise LogUnavailable("the newest checkpoint is older than the log")
+            raise LogUnavailable(
+                "the newest checkpoint ends before the oldest record of the log"
+            )
 
-    def _note_folded(self, folded: list[Folded]) -> None:
+    def _report_applied(self, applied: list[Folded]) -> None:
         context = self.context
-        for record, outcome in folded:
+        for record, outcome in applied:
             context.events.emit(
                 EventKind.CHANGE_DECIDED,
                 change=record.change_id,
@@ -110,7 +123,7 @@
             )
         context.metrics.gauge(Metric.CONFIG_OFFSET, self.config.offset)
 
-    def _note_log(self, lost: bool, detail: str = "") -> None:
+    def _record_log_state(self, lost: bool, detail: str = "") -> None:
         if lost:
             self.context.metrics.count(Metric.LOG_FAILURES)
         if lost != self.log_lost:
@@ -119,7 +132,7 @@
         self.log_lost = lost
 
     def _follow_peers(self) -> None:
-        """While the log is lost, take what the freshest peer has."""
+        """Ask the peers for newer configuration while the log is unreachable."""
         while True:
             eventlet.sleep(
                 PEER_POLL_SECONDS * (0.75 + self.context.random.random() / 2)
@@ -127,29 +140,33 @@
             if not self.log_lost:
                 continue
             for peer in self.context.settings.peers:
-                self._ask_peer(peer)
+                self._fetch_from_peer(peer)
 
-    def _ask_peer(self, peer: str) -> None:
+    def _fetch_from_peer(self, peer: str) -> None:
         path = f"{CONFIG_PATH}/{self.config.offset}"
         headers = {
             AUTH_HEADER: sign_request(self.context.settings.shared_key, "GET", path)
         }
         try:
-            status, data, _ = self.peer_http.fetch(
+            status, encoded, _ = self.peer_http.fetch(
                 "GET", peer, path, headers=headers, timeout=1.0, limit=MAX_CONTROL_BYTES
             )
         except (NoConnection, ExchangeFailed):
             return
         if status != 200:
             return
-        decoded = decode_message(data, ConfigRecords | ConfigFull)
+        decoded = decode_message(encoded, ConfigRecords | ConfigFull)
         if isinstance(decoded, Failure):
-            logger.warning("peer %s sent no configuration: %s", peer, decoded.failure())
+            logger.warning(
+                "peer %s sent an invalid configuration message: %s",
+                peer,
+                decoded.failure(),
+            )
             return
-        self.take(decoded.unwrap(), peer)
+        self.apply(decoded.unwrap(), peer)
 
-    def take(self, message: ConfigRecords | ConfigFull, sender: str) -> None:
-        """Take in configuration from another process, if it is ahead."""
+    def apply(self, message: ConfigRecords | ConfigFull, sender: str) -> None:
+        """Apply configuration from another process if it is newer than the own."""
         self.context.events.merge(message.clock)
         if self.config.take(message):
             self.context.events.emit(
@@ -157,7 +174,11 @@
             )
 
     def serve_config(self, request: HttpRequest) -> HttpReply:
-        """Answer another entry with what it lacks; 404 while nothing is known."""
+        """Send another entry the configuration that follows its offset.
+
+        The status is 404 if this entry has no configuration yet, or if its
+        offset is below the offset in the request.
+        """
         if not request.is_signed(self.context.settings.shared_key):
             return HttpReply(401)
         offset = request.path.removeprefix(f"{CONFIG_PATH}/")
@@ -168,36 +189,44 @@
         message = self.config.above(int(offset), self.context.events.clock)
         return HttpReply(200, encode_message(message))
 
-    def _keep_checkpoints(self) -> None:
-        """Write a checkpoint when the newest one is ageing.
+    def _write_due_checkpoints(self) -> None:
+        """Write a checkpoint when the newest one reaches its maximum age.
 
-        Whoever wakes first writes; the others notice it in the stream. Two at
-        once do no harm, since both are functions of the same prefix.
+        The entry that wakes first writes the checkpoint; the others read its
+        notice in the stream. Two checkpoints written at the same time are
+        harmless, since each depends only on the log up to its offset.
         """
-        seconds = self.context.settings.checkpoint_seconds
+        max_age_seconds = self.context.settings.checkpoint_seconds
         while True:
-            eventlet.sleep(seconds * (0.05 + 0.1 * self.context.random.random()))
+            eventlet.sleep(
+                max_age_seconds * (0.05 + 0.1 * self.context.random.random())
+            )
             notice = self.config.checkpoint
-            if notice != self.checkpoint_known:
-                self.checkpoint_known = notice
-                self.checkpoint_seen = boottime()
-            if boottime() - self.checkpoint_seen >= seconds and self.config.offset:
+            if notice != self.checkpoint_notice:
+                self.checkpoint_notice = notice
+                self.checkpoint_seen_at = boottime()
+            if (
+                boottime() - self.checkpoint_seen_at >= max_age_seconds
+                and self.config.offset
+            ):
                 self.write_checkpoint()
 
     def write_checkpoint(self) -> None:
-        """Append a checkpoint and tell all readers."""
+        """Append a checkpoint, and a notice of it to the configuration stream."""
         snapshot = self.config.state.snapshot()
         if self.log_lost or not self.config.known:
             return
         try:
-            place = self.context.log.append(
+            checkpoint_offset = self.context.log.append(
                 Stream.CHECKPOINTS, [encode_message(snapshot)]
             )
-            notice = CheckpointNotice(snapshot.offset, place)
+            notice = CheckpointNotice(snapshot.offset, checkpoint_offset)
             self.context.log.append(Stream.CONFIG, [encode_message(notice)])
         except LogUnavailable:
             return
-        self.checkpoint_seen = boottime()
+        self.checkpoint_seen_at = boottime()
         self.context.events.emit(
-            EventKind.CHECKPOINT_WRITTEN, offset=snapshot.offset, place=place
+            EventKind.CHECKPOINT_WRITTEN,
+            offset=snapshot.offset,
+            place=checkpoint_offset,
         )
--- a/src/ridgecourse/entry/context.py
+++ b/src/ridgecourse/entry/context.py
@@ -1,4 +1,4 @@
-"""What the parts of an entry share."""
+"""The state that the components of an entry share."""
 
 from random import Random
 
@@ -16,9 +16,9 @@
     """Settings, identity, clients and configuration of one entry.
 
     Attributes:
-        config: Its copy of the configuration.
+        config: The entry's copy of the configuration.
         random: Source of all random choices.
-        stopping: Set at a planned stop.
+        stopping: Whether a planned stop has begun.
     """
 
     def __init__(self, settings: EntrySettings) -> None:
@@ -35,7 +35,11 @@
         self.stopping = False
 
     def new_client(self, connect_seconds: float = 1.0) -> HttpClient:
-        """Return a client that connects from this entry's address."""
+        """Return an HTTP client that connects from this entry's source address.
+
+        Args:
+            connect_seconds: Timeout for opening a connection, in seconds.
+        """
         return HttpClient(connect_seconds, source=self.settings.source)
 
     def close(self) -> None:
--- a/src/ridgecourse/entry/dispatch.py
+++ b/src/ridgecourse/entry/dispatch.py
@@ -1,4 +1,10 @@
-"""Callers' requests: routed, retried within a budget, answered with an outcome."""
+"""Dispatches client requests to targets and answers with an outcome.
+
+A request is routed to a target, retried at other targets within the retry budget
+and the deadline, and answered with a proven outcome: completed, not run or
+unknown. A request with an idempotency key is dispatched only by the request that
+holds the key in the log.
+"""
 
 from collections.abc import Iterator
 from contextlib import closing
@@ -17,19 +23,19 @@
 from ridgecourse.core.retry import RetryBudget
 from ridgecourse.core.routing import REQUEST_WEIGHT, TOKEN_WEIGHT
 from ridgecourse.entry.attempt import (
-    Attempter,
     AttemptResult,
-    Lost,
+    AttemptSender,
+    CompleteAnswer,
+    OutcomeUnknown,
     Refused,
-    Streaming,
-    Whole,
+    StreamStarted,
 )
 from ridgecourse.entry.call import Call, parse_call
-from ridgecourse.entry.chooser import Chosen, TargetChooser
+from ridgecourse.entry.chooser import Candidate, TargetChooser
 from ridgecourse.entry.claims import ClaimResult, ClaimWriter
 from ridgecourse.entry.context import EntryContext
 from ridgecourse.entry.links import AgentLinks, AgentView
-from ridgecourse.entry.replies import DEFAULT_RETRY_AFTER, Replies
+from ridgecourse.entry.replies import DEFAULT_RETRY_AFTER, ReplyBuilder
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.events import EventKind
 from ridgecourse.net.http_client import ExchangeFailed, read_lines
@@ -43,23 +49,23 @@
 
 MAX_LINE_BYTES = 64 * 1024
 MAX_ATTEMPTS = 4
-MAX_TAKEOVERS = 3
-SETTLE_SECONDS = 0.1
+MAX_KEY_TAKEOVERS = 3
+FENCE_DELAY_SECONDS = 0.1
 
 
-class Started(NamedTuple):
-    """A request that got an answer's beginning, and where."""
+class DispatchResult(NamedTuple):
+    """Result of the last attempt of a request, and the target that answered."""
 
     result: AttemptResult
-    chosen: Chosen | None
+    candidate: Candidate | None
 
 
 class Dispatcher:
-    """Answers callers.
+    """Answers client requests.
 
     Attributes:
-        budget: Bounds retries over all requests of this entry.
-        in_flight: Requests in progress, by account.
+        budget: Limits the retries over all requests of this entry.
+        in_flight: Number of requests in progress, by client account.
     """
 
     def __init__(
@@ -67,25 +73,25 @@
     ) -> None:
         self.context = context
         self.claims = claims
-        self.attempter = Attempter(context)
-        self.replies = Replies(context)
+        self.attempt_sender = AttemptSender(context)
+        self.replies = ReplyBuilder(context)
         self.chooser = TargetChooser(context, links)
         self.budget = RetryBudget(context.settings.retry_ratio)
         self.in_flight: dict[AccountName, int] = {}
 
     def close(self) -> None:
         """Close idle connections."""
-        self.attempter.close()
+        self.attempt_sender.close()
 
     def total_in_flight(self) -> int:
-        """Return the requests in progress."""
+        """Return the number of requests in progress."""
         return sum(self.in_flight.values())
 
     def handle(self, request: HttpRequest) -> HttpReply:
-        """Answer a caller's request."""
+        """Answer a client's request."""
         parsed = parse_call(request, self.context.config.state, boottime())
         if isinstance(parsed, Failure):
-            return self.replies.fault(parsed.failure())
+            return self.replies.rejected(parsed.failure())
         call = parsed.unwrap()
         self.context.metrics.count(Metric.REQUESTS)
         if self.context.stopping:
@@ -96,7 +102,7 @@
         if call.account.max_in_flight and running >= call.account.max_in_flight:
             refused = Refused(Reason.ACCOUNT_LIMIT, DEFAULT_RETRY_AFTER)
             return self.replies.not_run(call, refused)
-        self._count(call, +1)
+        self._change_in_flight(call, +1)
         streaming = False
         try:
             self.budget.record_request()
@@ -105,35 +111,35 @@
             return reply
         finally:
             if not streaming:
-                self._count(call, -1)
+                self._change_in_flight(call, -1)
 
-    def _count(self, call: Call, change: int) -> None:
+    def _change_in_flight(self, call: Call, delta: int) -> None:
         account = call.account.account
-        self.in_flight[account] = self.in_flight.get(account, 0) + change
+        self.in_flight[account] = self.in_flight.get(account, 0) + delta
         self.context.metrics.gauge(Metric.IN_FLIGHT, self.total_in_flight())
 
     def _answer(self, call: Call) -> HttpReply:
         if call.key is not None:
             return self._answer_keyed(call)
-        return self._reply(call, self._try_targets(call, call.request_id))
+        return self._make_reply(call, self._try_targets(call, call.request_id))
 
-    def _reply(self, call: Call, started: Started) -> HttpReply:
-        result = started.result
+    def _make_reply(self, call: Call, dispatched: DispatchResult) -> HttpReply:
+        result = dispatched.result
         if isinstance(result, Refused):
             return self.replies.not_run(call, result)
-        if isinstance(result, Lost):
+        if isinstance(result, OutcomeUnknown):
             return self.replies.unknown(call, result)
-        if isinstance(result, Whole):
-            return self.replies.whole(call, result)
-        assert started.chosen is not None
+        if isinstance(result, CompleteAnswer):
+            return self.replies.complete(call, result)
+        assert dispatched.candidate is not None
         headers = [
-            *self.replies.headers(call),
+            *self.replies.common_headers(call),
             ("Content-Type", "application/x-ndjson"),
             (VERSION_HEADER, result.version),
         ]
-        return HttpReply(200, self._relay(call, result, started.chosen), headers)
+        return HttpReply(200, self._relay(call, result, dispatched.candidate), headers)
 
-    # Trying targets.
+    # Attempts.
 
     def _try_targets(
         self,
@@ -142,28 +148,36 @@
         start_at: int = 0,
         version: str = "",
         tried: set[TargetName] | None = None,
-    ) -> Started:
-        """Try targets until one answers, within attempts, budget and deadline.
+    ) -> DispatchResult:
+        """Send a request to targets in turn until one of them answers.
 
-        A refusal proves that nothing ran, so any request may go on to another
-        target; after a loss only a repeatable one may.
+        Attempts, retry budget and deadline limit the retries. A refusal proves
+        that the request was not run, so any request may be retried at another
+        target. After an unknown outcome only a repeatable request may be retried.
         """
         tried = set() if tried is None else tried
-        last: AttemptResult = Refused(Reason.NO_TARGET, DEFAULT_RETRY_AFTER)
+        last_result: AttemptResult = Refused(Reason.NO_TARGET, DEFAULT_RETRY_AFTER)
         for attempt in range(MAX_ATTEMPTS):
-            chosen = self.chooser.choose(call, tried)
-            if chosen is None or (attempt and not self._may_retry(call, last)):
-                return Started(last, None)
-            tried.add(chosen.target.target)
-            last = self._try_one(call, chosen, request_id, start_at, version)
-            if isinstance(last, (Whole, Streaming)):
-                return Started(last, chosen)
-        return Started(last, None)
-
-    def _may_retry(self, call: Call, last: AttemptResult) -> bool:
-        if isinstance(last, Lost) and not call.repeatable:
+            candidate = self.chooser.choose(call, tried)
+            if candidate is None or (
+                attempt and not self._may_retry(call, last_result)
+            ):
+                return DispatchResult(last_result, None)
+            tried.add(candidate.target.target)
+            last_result = self._try_target(
+                call, candidate, request_id, start_at, version
+            )
+            if isinstance(last_result, (CompleteAnswer, StreamStarted)):
+                return DispatchResult(last_result, candidate)
+        return DispatchResult(last_result, None)
+
+    def _may_retry(self, call: Call, last_result: AttemptResult) -> bool:
+        if isinstance(last_result, OutcomeUnknown) and not call.repeatable:
             return False
-        if isinstance(last, Refused) and last.reason is Reason.BAD_REQUEST:
+        if (
+            isinstance(last_result, Refused)
+            and last_result.reason is Reason.BAD_REQUEST
+        ):
             return False
         if boottime() >= call.deadline or not self.budget.take_retry():
             return False
@@ -171,144 +185,161 @@
         self.context.events.emit(EventKind.REQUEST_RETRIED, request=call.request_id)
         return True
 
-    def _try_one(
+    def _try_target(
         self,
         call: Call,
-        chosen: Chosen,
+        candidate: Candidate,
         request_id: RequestId,
         start_at: int = 0,
         version: str = "",
     ) -> AttemptResult:
-        target, view = chosen
-        begun = boottime()
+        target, view = candidate
+        started_at = boottime()
         self.context.events.emit(
             EventKind.REQUEST_DISPATCHED,
             request=request_id,
             target=target.target,
-            load=round(view.load.load(Seconds(begun)), 1),
+            load=round(view.load.load(Seconds(started_at)), 1),
             latency=round(view.load.latency, 4),
         )
         view.load.outstanding += 1
-        result = self.attempter.send(call, target, view, request_id, start_at, version)
-        if isinstance(result, Streaming):
+        result = self.attempt_sender.send(
+            call, target, view, request_id, start_at, version
+        )
+        if isinstance(result, StreamStarted):
             return result
         view.load.outstanding -= 1
         now = boottime()
-        if isinstance(result, Whole):
+        if isinstance(result, CompleteAnswer):
             view.load.succeeded()
-            view.load.observe(now - begun, now, REQUEST_WEIGHT)
-        elif isinstance(result, Lost) or result.blame:
-            self._blame(view, target, now)
+            view.load.observe(now - started_at, now, REQUEST_WEIGHT)
+        elif isinstance(result, OutcomeUnknown) or result.target_failed:
+            self._record_target_failure(view, target, now)
         elif result.reason is Reason.WRONG_INCARNATION:
             view.incarnation = None
         return result
 
-    def _blame(self, view: AgentView, target: Target, now: Seconds) -> None:
+    def _record_target_failure(
+        self, view: AgentView, target: Target, now: Seconds
+    ) -> None:
         view.load.failed(now)
         if view.load.ejected(now):
             self.context.events.emit(EventKind.TARGET_EJECTED, target=target.target)
 
     # Streams.
 
-    def _relay(self, call: Call, first: Streaming, chosen: Chosen) -> Iterator[bytes]:
-        """Yield the answer's lines, resumed elsewhere if its target is lost.
+    def _relay(
+        self, call: Call, first_stream: StreamStarted, candidate: Candidate
+    ) -> Iterator[bytes]:
+        """Yield the lines of a streamed answer.
 
-        The answer ends with an event that tells its outcome; without it the
-        caller knows that the answer is not whole.
+        If the target is lost, the stream is resumed at another target. The
+        answer ends with an event that states the outcome; a client that does not
+        receive this event knows that the answer is incomplete.
         """
-        tried = {chosen.target.target}
-        streaming, count = first, 0
-        ended = False
+        tried = {candidate.target.target}
+        stream, sent_tokens = first_stream, 0
+        outcome_recorded = False
         try:
             while True:
-                for event in self._events(streaming, chosen, count):
+                for event in self._read_events(stream, candidate, sent_tokens):
                     if event.end is StreamEnd.DONE:
-                        ended = True
-                        yield self.replies.last(
-                            call, Outcome.COMPLETED, count, first.version
+                        outcome_recorded = True
+                        yield self.replies.final_line(
+                            call, Outcome.COMPLETED, sent_tokens, first_stream.version
                         )
                         return
-                    count += 1
+                    sent_tokens += 1
                     yield encode(event) + b"\n"
-                resumed = self._resume(call, tried, count, first.version)
+                resumed = self._resume(call, tried, sent_tokens, first_stream.version)
                 if resumed is None:
                     break
-                streaming, chosen = resumed
-                tried.add(chosen.target.target)
-            ended = True
-            yield self.replies.last(call, Outcome.UNKNOWN, count, first.version)
+                stream, chosen = resumed
+                tried.add(candidate.target.target)
+            outcome_recorded = True
+            yield self.replies.final_line(
+                call, Outcome.UNKNOWN, sent_tokens, first_stream.version
+            )
         finally:
-            self._count(call, -1)
-            if not ended:
-                self.replies.note_end(call, Outcome.UNKNOWN, Reason.TARGET_LOST)
+            self._change_in_flight(call, -1)
+            if not outcome_recorded:
+                self.replies.record_end(call, Outcome.UNKNOWN, Reason.TARGET_LOST)
 
-    def _events(
-        self, streaming: Streaming, chosen: Chosen, count: int
+    def _read_events(
+        self, stream: StreamStarted, candidate: Candidate, sent_tokens: int
     ) -> Iterator[TokenEvent]:
-        """Yield one target's events in order; end early where it is lost."""
-        load = chosen.view.load
-        expected = count
-        whole = False
-        last: Seconds | None = None
+        """Yield the events of one target in order; stop early if the target fails."""
+        load = candidate.view.load
+        expected = sent_tokens
+        completed = False
+        last_event_at: Seconds | None = None
         try:
-            with closing(streaming.response) as response:
+            with closing(stream.response) as response:
                 for line in read_lines(response, MAX_LINE_BYTES):
                     event = decode(line, type=TokenEvent)
                     if event.end is StreamEnd.DONE:
-                        whole = event.count == expected
-                        if whole:
+                        completed = event.count == expected
+                        if completed:
                             yield event
                         return
                     if event.end is not None or event.seq != expected:
                         return
                     expected += 1
                     now = boottime()
-                    if last is not None:
-                        load.observe(now - last, now, TOKEN_WEIGHT)
-                    last = now
+                    if last_event_at is not None:
+                        load.observe(now - last_event_at, now, TOKEN_WEIGHT)
+                    last_event_at = now
                     yield event
         except (ExchangeFailed, DecodeError):
-            whole = False
+            completed = False
         finally:
             load.outstanding -= 1
-            if whole:
+            if completed:
                 load.succeeded()
             else:
-                self._blame(chosen.view, chosen.target, boottime())
+                self._record_target_failure(
+                    candidate.view, candidate.target, boottime()
+                )
 
     def _resume(
-        self, call: Call, tried: set[TargetName], count: int, version: str
-    ) -> tuple[Streaming, Chosen] | None:
-        """Continue a repeatable stream elsewhere, on the same version."""
-        if not self._may_retry(call, Lost(Reason.TARGET_LOST, "")):
+        self, call: Call, tried: set[TargetName], sent_tokens: int, version: str
+    ) -> tuple[StreamStarted, Candidate] | None:
+        """Resume a repeatable stream at another target that serves the same version."""
+        if not self._may_retry(call, OutcomeUnknown(Reason.TARGET_LOST, "")):
             return None
-        started = self._try_targets(call, call.request_id, count, version, tried)
-        if isinstance(started.result, Streaming) and started.chosen is not None:
-            return started.result, started.chosen
+        dispatched = self._try_targets(
+            call, call.request_id, sent_tokens, version, tried
+        )
+        if (
+            isinstance(dispatched.result, StreamStarted)
+            and dispatched.candidate is not None
+        ):
+            return dispatched.result, dispatched.candidate
         return None
 
-    # Requests under an idempotency key.
+    # Requests with an idempotency key.
 
     def _answer_keyed(self, call: Call) -> HttpReply:
-        """Claim the key in the log, then dispatch at most once.
+        """Claim the key in the log, then dispatch the request at most once.
 
-        A claim is taken over, from another request or from an own try, only
-        with proof that the request which holds it was not run and never will be.
+        A claim of another request, or of an earlier attempt of this request, is
+        taken over only with proof that the request that holds the claim was not
+        run and never will be.
         """
         replaces: RequestId | None = None
         tried: set[TargetName] = set()
         refused = Refused(Reason.NO_TARGET, DEFAULT_RETRY_AFTER)
-        for _ in range(MAX_TAKEOVERS):
-            chosen = self.chooser.choose(call, tried)
-            if chosen is None:
+        for _ in range(MAX_KEY_TAKEOVERS):
+            candidate = self.chooser.choose(call, tried)
+            if candidate is None:
                 return self.replies.not_run(call, refused)
-            tried.add(chosen.target.target)
-            if not self._identified(chosen):
+            tried.add(candidate.target.target)
+            if not self._ensure_incarnation(candidate):
                 continue
-            claim = self._make_claim(call, chosen, replaces)
-            left = call.deadline - boottime()
-            seconds = min(self.context.settings.claim_seconds, left)
-            result, holder = self.claims.claim(claim, seconds)
+            claim = self._make_claim(call, candidate, replaces)
+            remaining = call.deadline - boottime()
+            claim_timeout = min(self.context.settings.claim_seconds, remaining)
+            result, holder = self.claims.claim(claim, claim_timeout)
             if result is ClaimResult.NO_LOG:
                 return self.replies.not_run(
                     call, Refused(Reason.NO_LOG, DEFAULT_RETRY_AFTER)
@@ -317,68 +348,79 @@
                 EventKind.KEY_CLAIMED, request=claim.request_id, result=result.value
             )
             if result is ClaimResult.WON:
-                answer = self._try_one(call, chosen, claim.request_id)
+                answer = self._try_target(call, candidate, claim.request_id)
                 if not isinstance(answer, Refused):
-                    return self._reply(call, Started(answer, chosen))
+                    return self._make_reply(call, DispatchResult(answer, candidate))
                 refused = answer
                 replaces = claim.request_id
                 if answer.reason is Reason.KEY_FENCED:
-                    # Another entry took the key over before the dispatch arrived.
+                    # Another entry took the key over before this dispatch arrived.
                     tried.clear()
                 else:
                     self.claims.release(claim)
                 continue
             assert holder is not None
-            settled = self._settle(call, holder)
-            if settled is not None:
-                return settled
+            holder_reply = self._answer_from_holder(call, holder)
+            if holder_reply is not None:
+                return holder_reply
             replaces = holder.request_id
             tried.clear()
         if refused.reason is Reason.KEY_FENCED:
-            # The own request was not run, but another under the key may have been.
-            return self.replies.unknown(call, Lost(refused.reason, "key taken over"))
+            # This request was not run, but another with the same key may have been.
+            return self.replies.unknown(
+                call, OutcomeUnknown(refused.reason, "key taken over")
+            )
         return self.replies.not_run(call, refused)
 
-    def _identified(self, chosen: Chosen) -> bool:
-        """Tell whether the life of a target's agent is known, asking if need be."""
-        if chosen.view.incarnation is None:
-            chosen.view.incarnation = self.attempter.identify(chosen.target)
-        return chosen.view.incarnation is not None
+    def _ensure_incarnation(self, candidate: Candidate) -> bool:
+        """Check whether the agent's incarnation is known; ask the agent if not."""
+        if candidate.view.incarnation is None:
+            candidate.view.incarnation = self.attempt_sender.fetch_incarnation(
+                candidate.target
+            )
+        return candidate.view.incarnation is not None
 
     def _make_claim(
-        self, call: Call, chosen: Chosen, replaces: RequestId | None
+        self, call: Call, candidate: Candidate, replaces: RequestId | None
     ) -> Claim:
-        assert call.key is not None and chosen.view.incarnation is not None
+        assert call.key is not None and candidate.view.incarnation is not None
         return Claim(
             call.service.fleet,
             call.account.account,
             call.key,
             RequestId(uuid4().hex),
-            chosen.target.target,
-            chosen.view.incarnation,
+            candidate.target.target,
+            candidate.view.incarnation,
             replaces,
         )
 
-    def _settle(self, call: Call, holder: Claim) -> HttpReply | None:
-        """Answer from the request that holds the key.
+    def _answer_from_holder(self, call: Call, holder: Claim) -> HttpReply | None:
+        """Answer with the outcome of the request that holds the key.
 
         Returns:
-            The reply; None if that request was not started and now never will
-            be, so that the key may be taken over.
+            The reply; None if the holder's request was not started and is now
+            fenced, so that the key may be taken over.
         """
         targets = self.context.config.state.targets
         target = targets.get((holder.fleet, holder.target))
         reply = None
-        # The holder has just won; let its dispatch arrive before it is fenced.
-        eventlet.sleep(SETTLE_SECONDS)
+        # The holder may have won the key just now: its dispatch gets time to reach
+        # the agent before the fence does.
+        eventlet.sleep(FENCE_DELAY_SECONDS)
         if target is not None:
-            reply = self.attempter.fence(target, holder.request_id, holder.incarnation)
+            reply = self.attempt_sender.fence(
+                target, holder.request_id, holder.incarnation
+            )
         if reply is None or not reply.known:
             detail = "the request that holds the key cannot be asked after"
-            return self.replies.unknown(call, Lost(Reason.DUPLICATE_KEY, detail))
+            return self.replies.unknown(
+                call, OutcomeUnknown(Reason.DUPLICATE_KEY, detail)
+            )
         if not reply.started:
             return None
         if reply.answer is None:
             detail = "the request that holds the key was started"
-            return self.replies.unknown(call, Lost(Reason.DUPLICATE_KEY, detail))
-        return self.replies.kept(call, reply.answer, reply.version)
+            return self.replies.unknown(
+                call, OutcomeUnknown(Reason.DUPLICATE_KEY, detail)
+            )
+        return self.replies.stored_answer(call, reply.answer, reply.version)
--- a/src/ridgecourse/entry/entry.py
+++ b/src/ridgecourse/entry/entry.py
@@ -1,4 +1,8 @@
-"""The entry process: ties callers, operators and configuration together."""
+"""The entry process: accepts client requests and administration calls.
+
+``Entry`` creates the components of the process, routes HTTP requests to them, and
+starts, drains and closes them.
+"""
 
 import eventlet
 from msgspec.json import encode
@@ -13,7 +17,7 @@
 from ridgecourse.entry.links import AgentLinks
 from ridgecourse.entry.reports import REPORTS_PATH, ReportCollector
 from ridgecourse.entry.settings import EntrySettings
-from ridgecourse.entry.strict_json import StrictJson
+from ridgecourse.entry.strict_json import StrictJsonMiddleware
 from ridgecourse.net.address import parse_address
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.events import EventKind
@@ -27,19 +31,21 @@
 
 
 class Entry(Process):
-    """One entry."""
+    """One entry process."""
 
     def __init__(self, settings: EntrySettings) -> None:
         self.context = EntryContext(settings)
         self.follower = ConfigFollower(self.context)
         self.links = AgentLinks(self.context, self.follower)
-        self.claims = ClaimWriter(self.context)
-        self.writer = ChangeWriter(self.context)
-        self.dispatcher = Dispatcher(self.context, self.links, self.claims)
+        self.claim_writer = ClaimWriter(self.context)
+        self.change_writer = ChangeWriter(self.context)
+        self.dispatcher = Dispatcher(self.context, self.links, self.claim_writer)
         self.reports = ReportCollector(self.context, self.links)
-        admin = AdminService(self.context, self.writer, self.reports)
+        admin = AdminService(self.context, self.change_writer, self.reports)
         self.router = HttpRouter()
-        self.router.mount(ADMIN_PREFIX, StrictJson(AdminWSGIApplication(admin)))
+        self.router.mount(
+            ADMIN_PREFIX, StrictJsonMiddleware(AdminWSGIApplication(admin))
+        )
         self.router.add("POST", CALL_PREFIX, self.dispatcher.handle)
         self.router.add("GET", CONFIG_PATH, self.follower.serve_config)
         self.router.add("GET", REPORTS_PATH, self.reports.serve)
@@ -49,64 +55,67 @@
         self.http_server = HttpServer(parse_address(settings.http), self.router)
 
     def start(self) -> None:
-        """Open the server and begin to follow the configuration."""
+        """Open the HTTP server and start to follow the configuration."""
         self.http_server.start()
         self.follower.start()
         self.links.start()
-        self.claims.start()
+        self.claim_writer.start()
         self.context.events.emit(EventKind.STARTED, http=str(self.http_server.address))
         eventlet.spawn(self._announce_ready)
 
     def _announce_ready(self) -> None:
-        while not self.ready():
+        while not self.is_ready():
             self.context.config.changed.wait(0.1)
         self.context.events.emit(EventKind.READY, offset=self.context.config.offset)
 
-    def ready(self) -> bool:
-        """Tell whether requests may come here: the configuration is known."""
+    def is_ready(self) -> bool:
+        """Check whether this entry can serve requests.
+
+        The entry is ready once the configuration is known, until it stops.
+        """
         return self.context.config.known and not self.context.stopping
 
     def serve_health(self, request: HttpRequest) -> HttpReply:
-        """Answer that the process lives."""
+        """Answer with 200 while the process runs."""
         return HttpReply(200, b"ok\n")
 
     def serve_ready(self, request: HttpRequest) -> HttpReply:
-        """Answer whether the balancer may send requests here."""
-        return HttpReply(200 if self.ready() else 503)
+        """Answer the load balancer: 200 if this entry accepts requests, else 503."""
+        return HttpReply(200 if self.is_ready() else 503)
 
     def serve_status(self, request: HttpRequest) -> HttpReply:
-        """Answer with the entry's state and counts as JSON."""
+        """Answer with the entry's state and counters as JSON."""
         status = {
             "process": self.context.process,
             "incarnation": self.context.incarnation,
             "offset": self.context.config.offset,
             "digest": self.context.config.state.digest(),
-            "ready": self.ready(),
+            "ready": self.is_ready(),
             "log_lost": self.follower.log_lost,
             "in_flight": self.dispatcher.total_in_flight(),
             "links": sum(view.connected for view in self.links.views.values()),
-            "control_sent": self.links.sent,
-            "control_received": self.links.received,
+            "control_sent": self.links.sent_bytes,
+            "control_received": self.links.received_bytes,
             "log_exchanges": self.context.log.exchanges,
             "log_moved": self.context.log.moved,
-            "claims": self.claims.claims,
-            "claim_appends": self.claims.appends,
+            "claims": self.claim_writer.claim_count,
+            "claim_appends": self.claim_writer.append_count,
             "usage": process_usage(),
         }
         body = encode(status)
         return HttpReply(200, body, [("Content-Type", "application/json")])
 
     def drain(self) -> None:
-        """Let the requests in progress finish; refuse others as not run."""
+        """Wait for the requests in progress; refuse new requests as not run."""
         self.context.stopping = True
         self.context.events.emit(EventKind.STOPPING)
-        limit = boottime() + self.context.settings.drain_seconds
-        while self.dispatcher.total_in_flight() and boottime() < limit:
+        drain_deadline = boottime() + self.context.settings.drain_seconds
+        while self.dispatcher.total_in_flight() and boottime() < drain_deadline:
             eventlet.sleep(DRAIN_POLL_SECONDS)
 
     def close(self) -> None:
-        """Release everything."""
-        self.claims.close()
+        """Stop all components and close the server."""
+        self.claim_writer.close()
         self.links.close()
         self.follower.close()
         self.dispatcher.close()
--- a/src/ridgecourse/entry/links.py
+++ b/src/ridgecourse/entry/links.py
@@ -1,8 +1,8 @@
-"""Control connections from an entry to agents of its failure domain.
+"""Control connections from an entry to the agents of its failure domain.
 
 Each target of a domain is linked to a few of the domain's entries, chosen by
-rendezvous hashing over the live ones. What others know of it (their own counts,
-the load told with each answer) is enough to route by.
+rendezvous hashing over the live entries. An entry without a link to a target
+routes by its own counts and by the load that the agent reports with each answer.
 """
 
 import logging
@@ -36,19 +36,19 @@
 
 RECONNECT_SECONDS = 0.5
 INSTANCE_POLL_SECONDS = 5.0
-REPORT_LIFETIME = 3.0
-"""Seconds after which a target's report no longer counts as its state."""
+REPORT_LIFETIME_SECONDS = 3.0
+"""Age, in seconds, at which the report of a target becomes stale."""
 
 
 class AgentView(Struct):
-    """What an entry knows of one target's agent.
+    """An entry's state of one target's agent.
 
     Attributes:
-        load: For routing.
-        report: The newest report, if any came.
-        reported_at: When it came.
-        incarnation: The agent's life, once known.
-        connected: Whether a control connection is up.
+        load: Load estimate of the target, used for routing.
+        report: The newest report; None before the first one.
+        reported_at: Time at which the newest report arrived.
+        incarnation: Incarnation of the agent; None while it is unknown.
+        connected: Whether a control connection to the agent is open.
     """
 
     load: TargetLoad
@@ -58,19 +58,22 @@
     connected: bool = False
 
     def fresh_report(self, now: float) -> AgentReport | None:
-        """Return the newest report unless it is too old."""
-        if now - self.reported_at > REPORT_LIFETIME:
+        """Return the newest report, or None if it is stale."""
+        if now - self.reported_at > REPORT_LIFETIME_SECONDS:
             return None
         return self.report
 
 
 class AgentLinks:
-    """Keeps control connections and what they tell.
+    """Maintains control connections and the state received over them.
 
     Attributes:
-        views: By fleet and target.
-        instances: The instance list as last read.
-        changes: Times that the set of connections changed.
+        views: State of each agent, by fleet and target.
+        links: Thread of each connection, by fleet, target and control address.
+        instances: The instance list as last read; None before the first read.
+        change_count: Number of changes to the set of connections.
+        sent_bytes: Bytes of control messages sent.
+        received_bytes: Bytes of control messages received.
     """
 
     def __init__(self, context: EntryContext, follower: ConfigFollower) -> None:
@@ -81,13 +84,13 @@
         self.links = {}
         self.instances: InstanceSnapshot | None = None
         self.threads: list[eventlet.greenthread.GreenThread] = []
-        self.changes = 0
-        self.sent = 0
-        self.received = 0
+        self.change_count = 0
+        self.sent_bytes = 0
+        self.received_bytes = 0
 
     def start(self) -> None:
-        """Begin to connect."""
-        self.threads.append(spawn_loop(self._keep_links))
+        """Start to maintain the connections and to poll the instance list."""
+        self.threads.append(spawn_loop(self._maintain_links))
         if self.context.settings.instances is not None:
             self.threads.append(spawn_loop(self._read_instances))
 
@@ -97,11 +100,11 @@
             thread.kill()
 
     def is_linked(self, target: Target) -> bool:
-        """Tell whether this entry keeps a connection to a target's agent."""
+        """Check whether this entry maintains a connection to a target's agent."""
         return (target.fleet, target.target, target.control_address) in self.links
 
     def view(self, target: Target) -> AgentView:
-        """Return what is known of a target's agent."""
+        """Return the state of a target's agent; create it if there is none."""
         key = (target.fleet, target.target)
         found = self.views.get(key)
         if found is None:
@@ -119,36 +122,38 @@
                 INSTANCE_POLL_SECONDS * (0.75 + self.context.random.random() / 2)
             )
 
-    def _linked_targets(self) -> Iterator[Target]:
-        """Yield the targets that this entry connects to."""
-        me = self.context.process
+    def _targets_to_link(self) -> Iterator[Target]:
+        """Yield the targets that this entry must be connected to."""
+        local_process = self.context.process
         for target in self.context.config.state.targets.values():
             if target.domain != self.context.domain:
                 continue
             if self.instances is None:
                 yield target
                 continue
-            names = {found.process for found in self.instances.entries(target.domain)}
-            ranked = rendezvous_rank(target.target, names | {me})
-            if me in ranked[: self.context.settings.agent_links]:
+            live_entries = {
+                instance.process for instance in self.instances.entries(target.domain)
+            }
+            ranked = rendezvous_rank(target.target, live_entries | {local_process})
+            if local_process in ranked[: self.context.settings.agent_links]:
                 yield target
 
-    def _keep_links(self) -> None:
+    def _maintain_links(self) -> None:
         while True:
-            wanted = {
+            wanted_links = {
                 (target.fleet, target.target, target.control_address): target
-                for target in self._linked_targets()
+                for target in self._targets_to_link()
             }
-            changed = set(wanted) != set(self.links)
-            for key in [key for key in self.links if key not in wanted]:
+            links_changed = set(wanted_links) != set(self.links)
+            for key in [key for key in self.links if key not in wanted_links]:
                 self.links.pop(key).kill()
-            for key, target in wanted.items():
+            for key, target in wanted_links.items():
                 if key not in self.links:
-                    self.links[key] = spawn_loop(self._keep_link, target)
-            self.changes += changed
+                    self.links[key] = spawn_loop(self._maintain_link, target)
+            self.change_count += links_changed
             self.context.config.changed.wait(INSTANCE_POLL_SECONDS)
 
-    def _keep_link(self, target: Target) -> None:
+    def _maintain_link(self, target: Target) -> None:
         view = self.view(target)
         while True:
             try:
@@ -158,14 +163,16 @@
                     self.context.settings.source,
                 )
                 with closing(channel):
-                    self._talk(channel, view)
+                    self._run_session(channel, view)
             except ChannelClosed as error:
-                logger.debug("link to %s: %s", target.target, error)
+                logger.debug(
+                    "control connection to target %s ended: %s", target.target, error
+                )
             finally:
                 view.connected = False
             eventlet.sleep(RECONNECT_SECONDS * (0.5 + self.context.random.random()))
 
-    def _talk(self, channel: ControlChannel, view: AgentView) -> None:
+    def _run_session(self, channel: ControlChannel, view: AgentView) -> None:
         context = self.context
         channel.send(
             Hello(
@@ -175,49 +182,49 @@
                 context.config.offset,
             )
         )
-        first = channel.receive(Hello, REPORT_LIFETIME)
-        if first is None:
-            raise ChannelClosed("no hello")
-        view.incarnation = first.incarnation
+        agent_hello = channel.receive(Hello, REPORT_LIFETIME_SECONDS)
+        if agent_hello is None:
+            raise ChannelClosed("agent sent no hello")
+        view.incarnation = agent_hello.incarnation
         view.connected = True
-        pusher = eventlet.spawn(self._push, channel, first.offset)
+        push_thread = eventlet.spawn(self._push_config, channel, agent_hello.offset)
         try:
             for message in channel.messages(AgentMessage):
-                self._take(channel, view, message)
-                self.received += channel.received
+                self._handle_message(channel, view, message)
+                self.received_bytes += channel.received
                 channel.received = 0
         finally:
-            pusher.kill()
+            push_thread.kill()
 
-    def _push(self, channel: ControlChannel, offset: int) -> None:
-        """Send the agent what it lacks, now and after each change."""
+    def _push_config(self, channel: ControlChannel, offset: int) -> None:
+        """Send the agent the configuration it lacks, at once and after each change."""
         config = self.context.config
         try:
             while True:
                 if config.offset > offset:
                     channel.send(config.above(offset, self.context.events.clock))
                     offset = config.offset
-                    self.sent += channel.sent
+                    self.sent_bytes += channel.sent
                     channel.sent = 0
                 config.changed.wait()
         except ChannelClosed:
             channel.close()
 
-    def _take(
+    def _handle_message(
         self, channel: ControlChannel, view: AgentView, message: AgentMessage
     ) -> None:
         config = self.context.config
         if isinstance(message, AgentReport):
-            self._take_report(view, message)
-            behind = message.offset > config.offset
-            if behind and (self.follower.log_lost or not config.known):
+            self._apply_report(view, message)
+            is_behind = message.offset > config.offset
+            if is_behind and (self.follower.log_lost or not config.known):
                 channel.send(WantRecords(config.offset))
         elif isinstance(message, (ConfigRecords, ConfigFull)):
-            self.follower.take(message, view.load.target)
+            self.follower.apply(message, view.load.target)
         elif isinstance(message, WantRecords):
             channel.send(config.above(message.above, self.context.events.clock))
 
-    def _take_report(self, view: AgentView, report: AgentReport) -> None:
+    def _apply_report(self, view: AgentView, report: AgentReport) -> None:
         now = boottime()
         self.context.events.merge(report.clock)
         view.report = report
--- a/src/ridgecourse/entry/main.py
+++ b/src/ridgecourse/entry/main.py
@@ -12,11 +12,11 @@
 
 end_import_pause()
 
-DESCRIPTION = "Takes callers' requests and operators' decisions."
+DESCRIPTION = "Accepts client requests and operators' configuration changes."
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run an entry; return the exit code."""
+    """Run an entry process and return its exit code."""
     parser = make_parser("ridgecourse-entry", DESCRIPTION)
     return run_process(parser.parse_args(arguments), EntrySettings, Entry)
 
--- a/src/ridgecourse/entry/replies.py
+++ b/src/ridgecourse/entry/replies.py
@@ -1,10 +1,10 @@
-"""Answers to callers: status, outcome, reason and when to come back."""
+"""Replies to clients: status, outcome, reason and time until a retry."""
 
 from msgspec.json import encode
 
 from ridgecourse.core.outcome import Outcome, Reason
-from ridgecourse.entry.attempt import Lost, Refused, Whole
-from ridgecourse.entry.call import Call, CallFault
+from ridgecourse.entry.attempt import CompleteAnswer, OutcomeUnknown, Refused
+from ridgecourse.entry.call import Call, CallRejection
 from ridgecourse.entry.context import EntryContext
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.events import EventKind
@@ -20,7 +20,7 @@
 )
 
 DEFAULT_RETRY_AFTER = 1.0
-"""Seconds told to a caller where nothing better is known."""
+"""Value of Retry-After, in seconds, where no better estimate is known."""
 STATUS_OF_REASON = {
     Reason.BAD_REQUEST: 400,
     Reason.ACCOUNT_LIMIT: 429,
@@ -30,28 +30,28 @@
 }
 
 
-class Replies:
-    """Makes replies and reports how each request ended."""
+class ReplyBuilder:
+    """Builds replies and records the outcome of each request."""
 
     def __init__(self, context: EntryContext) -> None:
         self.context = context
 
-    def headers(self, call: Call, outcome: Outcome | None = None) -> HeaderList:
-        """Return the headers that every reply has."""
+    def common_headers(self, call: Call, outcome: Outcome | None = None) -> HeaderList:
+        """Return the headers that all replies have."""
         headers = [(REQUEST_HEADER, str(call.request_id))]
         if outcome is not None:
             headers.append((OUTCOME_HEADER, outcome.value))
         return headers
 
-    def note_end(self, call: Call, outcome: Outcome, reason: Reason) -> None:
-        """Report how a request ended."""
+    def record_end(self, call: Call, outcome: Outcome, reason: Reason) -> None:
+        """Record the outcome of a request in metrics and in the event stream."""
         metric = {
             Outcome.COMPLETED: Metric.COMPLETED,
             Outcome.NOT_RUN: Metric.NOT_RUN,
             Outcome.UNKNOWN: Metric.UNKNOWN,
         }[outcome]
         self.context.metrics.count(metric)
-        self.context.metrics.time(Metric.REQUEST_TIME, boottime() - call.received)
+        self.context.metrics.time(Metric.REQUEST_TIME, boottime() - call.received_at)
         self.context.events.emit(
             EventKind.REQUEST_ENDED,
             request=call.request_id,
@@ -59,47 +59,53 @@
             reason=reason.value,
         )
 
-    def whole(self, call: Call, result: Whole) -> HttpReply:
-        """Answer with a whole answer."""
-        self.note_end(call, Outcome.COMPLETED, Reason.ADMITTED)
-        headers = self.headers(call, Outcome.COMPLETED)
+    def complete(self, call: Call, result: CompleteAnswer) -> HttpReply:
+        """Return the reply for a complete answer."""
+        self.record_end(call, Outcome.COMPLETED, Reason.ADMITTED)
+        headers = self.common_headers(call, Outcome.COMPLETED)
         return HttpReply(result.status, result.body, headers)
 
     def not_run(self, call: Call, refused: Refused) -> HttpReply:
-        """Answer that a request was not run and will not be."""
-        self.note_end(call, Outcome.NOT_RUN, refused.reason)
+        """Return the reply for a request that was not run and will not be run."""
+        self.record_end(call, Outcome.NOT_RUN, refused.reason)
         status = STATUS_OF_REASON.get(refused.reason, 503)
-        headers = self.headers(call, Outcome.NOT_RUN)
+        headers = self.common_headers(call, Outcome.NOT_RUN)
         headers.append((REASON_HEADER, refused.reason.value))
-        after = refused.retry_after or DEFAULT_RETRY_AFTER
-        headers.append((RETRY_AFTER_HEADER, str(max(1, round(after)))))
+        retry_after = refused.retry_after or DEFAULT_RETRY_AFTER
+        headers.append((RETRY_AFTER_HEADER, str(max(1, round(retry_after)))))
         return HttpReply(status, f"not run: {refused.reason.value}\n".encode(), headers)
 
-    def unknown(self, call: Call, lost: Lost) -> HttpReply:
-        """Answer that a request may have been run."""
-        self.note_end(call, Outcome.UNKNOWN, lost.reason)
-        status = 409 if lost.reason is Reason.DUPLICATE_KEY else 502
-        headers = self.headers(call, Outcome.UNKNOWN)
-        headers.append((REASON_HEADER, lost.reason.value))
+    def unknown(self, call: Call, unknown_outcome: OutcomeUnknown) -> HttpReply:
+        """Return the reply for a request that may have been run."""
+        self.record_end(call, Outcome.UNKNOWN, unknown_outcome.reason)
+        status = 409 if unknown_outcome.reason is Reason.DUPLICATE_KEY else 502
+        headers = self.common_headers(call, Outcome.UNKNOWN)
+        headers.append((REASON_HEADER, unknown_outcome.reason.value))
         headers.append((RETRY_AFTER_HEADER, str(round(DEFAULT_RETRY_AFTER))))
-        return HttpReply(status, f"unknown: {lost.detail}\n".encode(), headers)
+        return HttpReply(
+            status, f"unknown: {unknown_outcome.detail}\n".encode(), headers
+        )
 
-    def fault(self, fault: CallFault) -> HttpReply:
-        """Answer a request that was not taken."""
+    def rejected(self, rejection: CallRejection) -> HttpReply:
+        """Return the reply for an invalid request."""
         self.context.metrics.count(Metric.BAD_INPUT)
         self.context.events.emit(
-            EventKind.REQUEST_REFUSED, reason=fault.reason.value, detail=fault.detail
+            EventKind.REQUEST_REFUSED,
+            reason=rejection.reason.value,
+            detail=rejection.detail,
         )
         headers = [
             (OUTCOME_HEADER, Outcome.NOT_RUN.value),
-            (REASON_HEADER, fault.reason.value),
+            (REASON_HEADER, rejection.reason.value),
         ]
-        return HttpReply(fault.status, f"{fault.detail}\n".encode(), headers)
+        return HttpReply(rejection.status, f"{rejection.detail}\n".encode(), headers)
 
-    def last(self, call: Call, outcome: Outcome, count: int, version: str) -> bytes:
-        """Return the last line of a streamed answer, which tells its outcome."""
+    def final_line(
+        self, call: Call, outcome: Outcome, count: int, version: str
+    ) -> bytes:
+        """Return the last line of a streamed answer, which states the outcome."""
         reason = Reason.ADMITTED if outcome is Outcome.COMPLETED else Reason.TARGET_LOST
-        self.note_end(call, outcome, reason)
+        self.record_end(call, outcome, reason)
         end = StreamEnd.DONE if outcome is Outcome.COMPLETED else StreamEnd.FAILED
         event = TokenEvent(
             end=end,
@@ -110,11 +116,11 @@
         )
         return encode(event) + b"\n"
 
-    def kept(self, call: Call, answer: bytes, version: str) -> HttpReply:
-        """Answer with what the first request under the key was answered."""
+    def stored_answer(self, call: Call, answer: bytes, version: str) -> HttpReply:
+        """Return the stored answer of the first request with the same key."""
         if not version:
-            return self.whole(call, Whole(200, answer))
+            return self.complete(call, CompleteAnswer(200, answer))
         *tokens, _ = answer.split(b"\n")
-        last = self.last(call, Outcome.COMPLETED, len(tokens), version)
-        body = b"".join(line + b"\n" for line in tokens) + last
-        return HttpReply(200, body, self.headers(call, Outcome.COMPLETED))
+        final_line = self.final_line(call, Outcome.COMPLETED, len(tokens), version)
+        body = b"".join(line + b"\n" for line in tokens) + final_line
+        return HttpReply(200, body, self.common_headers(call, Outcome.COMPLETED))
--- a/src/ridgecourse/entry/reports.py
+++ b/src/ridgecourse/entry/reports.py
@@ -1,4 +1,8 @@
-"""Reports of targets that this entry has no link to, asked of other entries."""
+"""Collects the agent reports of a service's targets.
+
+Reports of targets that this entry has no link to are fetched from the other
+entries.
+"""
 
 from collections.abc import Iterable, Iterator
 
@@ -17,11 +21,11 @@
 from ridgecourse.wire.entry_control import ReportList, TargetReport
 
 REPORTS_PATH = "/internal/reports/"
-PEER_SECONDS = 1.0
+PEER_TIMEOUT_SECONDS = 1.0
 
 
 class ReportCollector:
-    """Gathers the newest report of every target of a service."""
+    """Collects the newest report of every target of a service."""
 
     def __init__(self, context: EntryContext, links: AgentLinks) -> None:
         self.context = context
@@ -32,55 +36,55 @@
         """Close idle connections."""
         self.http.close()
 
-    def own(self, targets: Iterable[Target]) -> Iterator[TargetReport]:
-        """Yield the fresh reports that came over this entry's own links."""
+    def local_reports(self, targets: Iterable[Target]) -> Iterator[TargetReport]:
+        """Yield the reports received over this entry's own links that are not stale."""
         now = boottime()
         for target in targets:
             view = self.links.view(target)
             report = view.fresh_report(now)
             if report is not None:
-                age = int((now - view.reported_at) * 1000)
-                yield TargetReport(target.target, report, age)
+                age_ms = int((now - view.reported_at) * 1000)
+                yield TargetReport(target.target, report, age_ms)
 
     def collect(
         self, fleet: FleetName, service: ServiceName
     ) -> dict[TargetName, TargetReport]:
-        """Return the reports of a service's targets, as far as they can be had."""
+        """Return the reports of a service's targets; unreachable ones are left out."""
         state = self.context.config.state
         targets = list(state.service_targets(fleet, service))
-        found = {report.target: report for report in self.own(targets)}
+        reports = {report.target: report for report in self.local_reports(targets)}
         for peer in self.context.settings.peers:
-            if len(found) >= len(targets):
+            if len(reports) >= len(targets):
                 break
-            for report in self._ask(peer, f"{REPORTS_PATH}{fleet}/{service}"):
-                found.setdefault(report.target, report)
-        return found
+            for report in self._fetch_reports(peer, f"{REPORTS_PATH}{fleet}/{service}"):
+                reports.setdefault(report.target, report)
+        return reports
 
-    def _ask(self, peer: str, path: str) -> ReportList:
+    def _fetch_reports(self, peer: str, path: str) -> ReportList:
         key = self.context.settings.shared_key
         headers = {AUTH_HEADER: sign_request(key, "GET", path)}
         try:
-            status, data, _ = self.http.fetch(
+            status, encoded, _ = self.http.fetch(
                 "GET",
                 peer,
                 path,
                 headers=headers,
-                timeout=PEER_SECONDS,
+                timeout=PEER_TIMEOUT_SECONDS,
                 limit=MAX_CONTROL_BYTES,
             )
         except (NoConnection, ExchangeFailed):
             return []
-        decoded = decode_message(data, ReportList)
+        decoded = decode_message(encoded, ReportList)
         if status != 200 or isinstance(decoded, Failure):
             return []
         return decoded.unwrap()
 
     def serve(self, request: HttpRequest) -> HttpReply:
-        """Answer another entry with the reports that came over own links."""
+        """Answer another entry with the reports from this entry's own links."""
         if not request.is_signed(self.context.settings.shared_key):
             return HttpReply(401)
         fleet, _, service = request.path.removeprefix(REPORTS_PATH).partition("/")
         targets = self.context.config.state.service_targets(
             FleetName(fleet), ServiceName(service)
         )
-        return HttpReply(200, encode_message(list(self.own(targets))))
+        return HttpReply(200, encode_message(list(self.local_reports(targets))))
--- a/src/ridgecourse/entry/settings.py
+++ b/src/ridgecourse/entry/settings.py
@@ -8,10 +8,10 @@
 
 
 class Role(Enum):
-    """What an operator may do.
+    """Permissions of an operator.
 
-    VIEWER: Read.
-    OPERATOR: Read and change.
+    VIEWER: May read the configuration.
+    OPERATOR: May read and change the configuration.
     """
 
     VIEWER = "viewer"
@@ -22,8 +22,8 @@
     """An operator that may use the administration API.
 
     Attributes:
-        name: Stands as the author of changes.
-        token_digest: BLAKE3 of the operator's token, in hexadecimal.
+        name: Recorded as the author of the operator's changes.
+        token_digest: BLAKE3 digest of the operator's token, in hexadecimal.
         role: "viewer" or "operator".
     """
 
@@ -37,23 +37,23 @@
 
     Attributes:
         process: Name of this process.
-        domain: Failure domain it runs in.
-        http: HOST:PORT for callers, operators and other entries.
+        domain: Failure domain that the entry runs in.
+        http: HOST:PORT to listen on for clients, operators and other entries.
         log: HOST:PORT of the platform's log.
         instances: HOST:PORT of the platform's instance list, if there is one.
-        peers: HOST:PORT of other entries, asked for the configuration while
-            the log cannot be reached.
-        source: Local address that connections are made from; None for any.
-        shared_key: Proves the system's processes to each other.
-        operators: Who may use the administration API.
-        agent_links: Entries that keep a control connection to each target of
-            the domain.
-        checkpoint_seconds: Age at which the newest checkpoint is written anew;
-            keep it well below the log's retention.
-        retry_ratio: Retries allowed for each fresh request.
+        peers: HOST:PORT of the other entries, which supply the configuration
+            while the log cannot be reached.
+        source: Local address to open connections from; None for any.
+        shared_key: Key with which the system's processes authenticate each other.
+        operators: Operators that may use the administration API.
+        agent_links: Number of entries that maintain a control connection to
+            each target of the domain.
+        checkpoint_seconds: Age of the newest checkpoint at which the next one
+            is written; keep this well below the log's retention.
+        retry_ratio: Number of retries allowed for each new request.
         claim_seconds: Longest wait for a claim on an idempotency key.
         drain_seconds: Longest wait for requests in progress at a planned stop.
-        statsd: HOST:PORT for metrics; none are sent without it.
+        statsd: HOST:PORT that metrics are sent to; None to send no metrics.
     """
 
     process: str = Field(min_length=1)
