--- a/src/ridgecourse/agent/__init__.py
+++ b/src/ridgecourse/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent process: the gate before a target and the weight exchange."""
+"""The agent process: admission control for a target and weight distribution."""
--- a/src/ridgecourse/agent/agent.py
+++ b/src/ridgecourse/agent/agent.py
@@ -1,11 +1,15 @@
-"""The agent process: ties gate, exchange, rollout and control together."""
+"""The agent process: admission control and weight distribution for one target.
+
+``Agent`` creates the gate, the weight exchange, the rollout and the control
+server, connects them, and starts, drains and closes them.
+"""
 
 import eventlet
 from msgspec.json import encode
 
 from ridgecourse.agent.context import AgentContext
 from ridgecourse.agent.control import AgentControl
-from ridgecourse.agent.gate import Gate
+from ridgecourse.agent.gate import AdmissionGate
 from ridgecourse.agent.rollout import Rollout
 from ridgecourse.agent.settings import AgentSettings
 from ridgecourse.exchange.server import Exchange
@@ -21,16 +25,16 @@
 
 
 class Agent(Process):
-    """One agent, in the slot of one target."""
+    """One agent process, which serves one target."""
 
     def __init__(self, settings: AgentSettings) -> None:
         self.context = AgentContext(settings)
         self.exchange = Exchange(self.context.exchange)
         self.rollout = Rollout(self.context, self.exchange)
-        self.gate = Gate(self.context, self.rollout)
+        self.gate = AdmissionGate(self.context, self.rollout)
         self.changed = Broadcast()
         self.control = AgentControl(
-            self.context, self.exchange, self.report, self.changed
+            self.context, self.exchange, self.make_report, self.changed
         )
         self.router = HttpRouter()
         self.gate.add_routes(self.router)
@@ -45,7 +49,7 @@
         self.threads: list[eventlet.greenthread.GreenThread] = []
 
     def start(self) -> None:
-        """Open both servers and begin to follow the configuration."""
+        """Open both servers and start to follow the configuration."""
         self.http_server.start()
         self.control_server.start()
         self.gate.start()
@@ -55,7 +59,7 @@
             self.gate.changed,
             self.context.config.changed,
         ):
-            self.threads.append(spawn_loop(self._pass_on, source))
+            self.threads.append(spawn_loop(self._forward_changes, source))
         self.context.events.emit(
             EventKind.STARTED,
             target=self.context.target,
@@ -63,37 +67,37 @@
             control=str(self.control_server.address),
         )
 
-    def _pass_on(self, source: Broadcast) -> None:
+    def _forward_changes(self, source: Broadcast) -> None:
         while True:
             source.wait()
             self.changed.notify()
 
-    def report(self) -> AgentReport:
-        """Return what entries are told."""
-        held, total = self.rollout.progress()
+    def make_report(self) -> AgentReport:
+        """Return the report that is sent to entries."""
+        held_bytes, total_bytes = self.rollout.progress()
         return AgentReport(
             offset=self.context.config.offset,
             in_flight=self.gate.in_flight,
             slots=self.context.settings.engine.slots,
-            ready=self.gate.ready(),
+            ready=self.gate.is_ready(),
             serving=self.rollout.serving,
             phase=self.rollout.phase.value,
-            bytes_held=held,
-            bytes_total=total,
+            bytes_held=held_bytes,
+            bytes_total=total_bytes,
             error=self.rollout.error,
             clock=self.context.events.clock,
         )
 
     def serve_health(self, request: HttpRequest) -> HttpReply:
-        """Answer that the process lives."""
+        """Answer with 200 while the process runs."""
         return HttpReply(200, b"ok\n")
 
     def serve_ready(self, request: HttpRequest) -> HttpReply:
-        """Answer whether the target takes requests."""
-        return HttpReply(200 if self.gate.ready() else 503)
+        """Answer with 200 if the target accepts requests, else with 503."""
+        return HttpReply(200 if self.gate.is_ready() else 503)
 
     def serve_status(self, request: HttpRequest) -> HttpReply:
-        """Answer with the agent's state and counts as JSON."""
+        """Answer with the agent's state and counters as JSON."""
         counts = self.context.counts
         status = {
             "process": self.context.process,
@@ -101,7 +105,7 @@
             "incarnation": self.context.incarnation,
             "offset": self.context.config.offset,
             "digest": self.context.config.state.digest(),
-            "ready": self.gate.ready(),
+            "ready": self.gate.is_ready(),
             "phase": self.rollout.phase.value,
             "serving": self.rollout.serving,
             "error": self.rollout.error,
@@ -118,12 +122,12 @@
         return HttpReply(200, body, [("Content-Type", "application/json")])
 
     def drain(self) -> None:
-        """Finish the requests in progress; refuse others with proof."""
+        """Wait for the requests in progress; refuse new requests as not run."""
         self.context.events.emit(EventKind.STOPPING, target=self.context.target)
         self.gate.drain()
 
     def close(self) -> None:
-        """Release everything."""
+        """Stop all components and close both servers."""
         self.rollout.close()
         self.gate.close()
         for thread in self.threads:
--- a/src/ridgecourse/agent/context.py
+++ b/src/ridgecourse/agent/context.py
@@ -1,4 +1,4 @@
-"""What the parts of an agent share."""
+"""The state that the components of an agent share."""
 
 from ridgecourse.agent.settings import AgentSettings
 from ridgecourse.core.fetches import Member, PlanPolicy
@@ -22,18 +22,18 @@
 from ridgecourse.wire.request import MAX_REQUEST_BYTES
 
 MAX_BODY_BYTES = MAX_REQUEST_BYTES + 64 * 1024
-"""Longest body that an entry sends: a caller's, and what stands around it."""
+"""Longest body that an entry sends: a client's body and the message around it."""
 
 
 class AgentContext:
     """Settings, identity, clients and stores of one agent.
 
     Attributes:
-        me: The agent as others name it.
-        incarnation: This life of the process.
-        config: Its copy of the configuration.
-        store: Its chunks.
-        exchange: Its part in the exchange of weights.
+        local: The local peer, as it is named in the exchange of weights.
+        incarnation: Incarnation of this process.
+        config: The agent's copy of the configuration.
+        store: The chunks that the agent holds.
+        exchange: The context of the exchange of weights.
     """
 
     def __init__(self, settings: AgentSettings) -> None:
@@ -42,7 +42,7 @@
         self.fleet = FleetName(settings.fleet)
         self.target = TargetName(settings.target)
         self.domain = DomainName(settings.domain)
-        self.me = Member(self.target, self.domain)
+        self.local = Member(self.target, self.domain)
         self.incarnation: Incarnation = new_incarnation()
         self.events = EventStream(self.process, self.incarnation, self.domain)
         self.metrics = Metrics(self.process, settings.statsd)
@@ -60,7 +60,7 @@
     def _make_exchange(self, settings: AgentSettings) -> ExchangeContext:
         link, plan = settings.link, settings.plan
         return ExchangeContext(
-            me=self.me,
+            me=self.local,
             events=self.events,
             metrics=self.metrics,
             http=self.http,
--- a/src/ridgecourse/agent/control.py
+++ b/src/ridgecourse/agent/control.py
@@ -1,4 +1,8 @@
-"""The agent's end of control connections: entries push, other agents follow."""
+"""The agent's end of control connections.
+
+An entry pushes configuration to the agent and receives reports. Another agent
+follows the announcements of the chunks that this agent holds.
+"""
 
 from collections.abc import Callable
 
@@ -23,49 +27,49 @@
 )
 from ridgecourse.wire.version import check_protocol
 
-MIN_REPORT_SECONDS = 0.1
-"""Between two reports, however much changes."""
-HELLO_SECONDS = 3.0
+MIN_REPORT_INTERVAL_SECONDS = 0.1
+"""Shortest interval, in seconds, between reports, however often state changes."""
+HELLO_TIMEOUT_SECONDS = 3.0
 
 
 class AgentControl:
     """Handles control connections.
 
     Attributes:
-        report: Makes the report of the moment.
-        changed: Notified when a report would say something new.
+        make_report: Returns a report of the present state.
+        changed: Notified when the report has changed.
     """
 
     def __init__(
         self,
         context: AgentContext,
         exchange: Exchange,
-        report: Callable[[], AgentReport],
+        make_report: Callable[[], AgentReport],
         changed: Broadcast,
     ) -> None:
         self.context = context
         self.exchange = exchange
-        self.report = report
+        self.make_report = make_report
         self.changed = changed
 
     def handle(self, channel: ControlChannel) -> None:
         """Serve one connection until it ends.
 
         Raises:
-            ChannelClosed: It ended.
+            ChannelClosed: The connection ended, or its first message is invalid.
         """
         try:
-            first = channel.receive(FirstMessage, HELLO_SECONDS)
-            if first is None:
-                raise ChannelClosed("no first message")
-            checked = check_protocol(first.protocol)
-            if isinstance(checked, Failure):
-                raise ChannelClosed(str(checked.failure()))
+            first_message = channel.receive(FirstMessage, HELLO_TIMEOUT_SECONDS)
+            if first_message is None:
+                raise ChannelClosed("peer sent no first message")
+            protocol_check = check_protocol(first_message.protocol)
+            if isinstance(protocol_check, Failure):
+                raise ChannelClosed(str(protocol_check.failure()))
         except ChannelClosed as error:
             self.context.events.emit(EventKind.BAD_INPUT, error=str(error))
             raise
-        if isinstance(first, Follow):
-            self.exchange.tell_holdings(channel, first)
+        if isinstance(first_message, Follow):
+            self.exchange.tell_holdings(channel, first_message)
         else:
             self._serve_entry(channel)
 
@@ -82,23 +86,23 @@
         reporter = eventlet.spawn(self._send_reports, channel)
         try:
             for message in channel.messages(EntryMessage):
-                self._take(channel, message)
+                self._handle_message(channel, message)
         finally:
             reporter.kill()
 
-    def _take(self, channel: ControlChannel, message: EntryMessage) -> None:
+    def _handle_message(self, channel: ControlChannel, message: EntryMessage) -> None:
         config = self.context.config
         if isinstance(message, WantRecords):
             channel.send(config.above(message.above, self.context.events.clock))
         elif isinstance(message, (ConfigRecords, ConfigFull)):
             self.context.events.merge(message.clock)
-            before = config.offset
+            previous_offset = config.offset
             if config.take(message):
-                self._note_fold()
-            elif isinstance(message, ConfigRecords) and message.first > before:
-                channel.send(WantRecords(before))
+                self._report_applied()
+            elif isinstance(message, ConfigRecords) and message.first > previous_offset:
+                channel.send(WantRecords(previous_offset))
 
-    def _note_fold(self) -> None:
+    def _report_applied(self) -> None:
         context = self.context
         context.events.emit(EventKind.CONFIG_FOLDED, offset=context.config.offset)
         target = context.config.state.targets.get((context.fleet, context.target))
@@ -109,9 +113,11 @@
         heartbeat = self.context.settings.heartbeat_seconds
         try:
             while True:
-                channel.send(self.report())
-                sent = boottime()
+                channel.send(self.make_report())
+                sent_at = boottime()
                 self.changed.wait(heartbeat)
-                eventlet.sleep(max(0.0, sent + MIN_REPORT_SECONDS - boottime()))
+                eventlet.sleep(
+                    max(0.0, sent_at + MIN_REPORT_INTERVAL_SECONDS - boottime())
+                )
         except ChannelClosed:
             channel.close()
--- a/src/ridgecourse/agent/fences.py
+++ b/src/ridgecourse/agent/fences.py
@@ -1,6 +1,7 @@
-"""Fences: how an entry learns what became of a request that it lost sight of.
+"""Fences: lets an entry settle a request whose outcome it does not know.
 
-A fence makes sure that a request is never started here, or tells that it was.
+A fence guarantees that a request is never started at this agent, or reports that
+the request was started.
 """
 
 from returns.result import Failure
@@ -20,7 +21,7 @@
 
 
 class Fences:
-    """Answers entries that ask for a fence, or for this life of the agent.
+    """Answers entries that request a fence or the agent's incarnation.
 
     Attributes:
         register: Requests that were started or fenced.
@@ -31,26 +32,26 @@
         self.register = register
 
     def add_routes(self, router: HttpRouter) -> None:
-        """Serve fences on a router."""
+        """Add the routes for fences and the agent's identity to a router."""
         router.add("POST", FENCE_PATH, self.handle_fence)
         router.add("GET", IDENTITY_PATH, self.handle_identity)
 
     def handle_fence(self, request: HttpRequest) -> HttpReply:
-        """Make sure that a request is never started here, or tell that it was."""
+        """Fence a request, or report that the request was started."""
         body = request.read_body(MAX_BODY_BYTES)
         if not request.is_signed(self.context.settings.shared_key, body):
             return HttpReply(401)
         decoded = decode_message(body, FenceRequest)
         if isinstance(decoded, Failure):
             return HttpReply(400, str(decoded.failure()).encode())
-        return HttpReply(200, encode_message(self._fence(decoded.unwrap())))
+        return HttpReply(200, encode_message(self._apply_fence(decoded.unwrap())))
 
     def handle_identity(self, request: HttpRequest) -> HttpReply:
-        """Tell which life of the agent this is."""
+        """Answer with the agent's incarnation."""
         identity = Identity(self.context.incarnation)
         return HttpReply(200, encode_message(identity))
 
-    def _fence(self, fence: FenceRequest) -> FenceReply:
+    def _apply_fence(self, fence: FenceRequest) -> FenceReply:
         known = fence.incarnation == self.context.incarnation
         if not known or (
             self.register.forgotten and fence.request_id not in self.register.states
--- a/src/ridgecourse/agent/gate.py
+++ b/src/ridgecourse/agent/gate.py
@@ -1,8 +1,10 @@
-"""The gate before a target: what may run there, when, and with what proof.
+"""Admission control for one target: decides which requests run, and when.
 
-Whatever a stale entry believes, the gate refuses work for a leaving target, work
-whose deadline has passed, a second start of the same request, and work for
-another life of this agent. A refusal proves that the request was not run.
+The gate queues requests, gives them slots of the engine and relays the answers.
+Entries may act on stale state, so the gate itself refuses work for a leaving
+target, work whose deadline has passed, a second start of the same request, and
+work for another incarnation of this agent. A refusal proves that the request was
+not run.
 """
 
 from collections.abc import Iterator
@@ -51,23 +53,25 @@
 )
 
 MAX_LINE_BYTES = 64 * 1024
-MAX_KEPT_ANSWER_BYTES = 64 * 1024
-EXPIRY_SECONDS = 0.05
-"""Between two looks for queued requests whose deadline has passed."""
+MAX_STORED_ANSWER_BYTES = 64 * 1024
+EXPIRY_INTERVAL_SECONDS = 0.05
+"""Interval, in seconds, between checks for queued requests past their deadline."""
 TOKEN_STALL_SECONDS = 10.0
-"""Longest wait for an engine's next token."""
+"""Longest wait, in seconds, for the next token of an engine."""
 DEFAULT_COST = 64
-"""Cost units of a request that does not say how many tokens it asks for."""
+"""Cost, in tokens, of a request that does not state a number of tokens."""
 
 
-class Gate:
+class AdmissionGate:
     """Admits, runs and answers requests for one target.
 
     Attributes:
-        queue: Decides who is next.
+        queue: Decides which request runs next.
         register: Requests that were started or fenced.
-        fences: Answers entries that ask what became of a request.
-        stopping: Set at a planned stop; nothing new is admitted.
+        fences: Answers entries that fence a request.
+        admission_signals: Signal of each queued request: true admits the
+            request, false reports that its deadline has passed.
+        stopping: Whether a planned stop has begun; no new request is admitted.
         changed: Notified when the number of requests changes.
     """
 
@@ -78,32 +82,32 @@
         self.queue = AdmissionQueue(context.settings.engine.slots)
         self.register = KeyRegister()
         self.fences = Fences(context, self.register)
-        self.waiting: dict[RequestId, Signal] = {}
+        self.admission_signals: dict[RequestId, Signal] = {}
         self.in_flight = 0
         self.stopping = False
         self.changed = Broadcast()
         self.thread: eventlet.greenthread.GreenThread | None = None
 
     def start(self) -> None:
-        """Begin to look for lapsed deadlines."""
-        self.thread = spawn_loop(self._expire)
+        """Start the thread that expires queued requests."""
+        self.thread = spawn_loop(self._expire_queued)
 
     def close(self) -> None:
-        """Stop looking."""
+        """Stop the thread that expires queued requests."""
         if self.thread is not None:
             self.thread.kill()
 
     def add_routes(self, router: HttpRouter) -> None:
-        """Serve work and fences on a router."""
+        """Add the routes for work and fences to a router."""
         router.add("POST", WORK_PATH, self.handle_work)
         self.fences.add_routes(router)
 
-    def ready(self) -> bool:
-        """Tell whether the target takes requests."""
-        return self._closed_reason() is None
+    def is_ready(self) -> bool:
+        """Check whether the target accepts requests."""
+        return self._unavailable_reason() is None
 
-    def _closed_reason(self) -> Reason | None:
-        """Return why no request may run now, None if one may."""
+    def _unavailable_reason(self) -> Reason | None:
+        """Return why the target accepts no requests, or None if it accepts them."""
         target = self.rollout.target()
         if self.stopping:
             return Reason.STOPPING
@@ -111,7 +115,7 @@
             return Reason.NOT_READY
         if target.leaving:
             return Reason.LEAVING
-        if not self.rollout.engine_seen:
+        if not self.rollout.engine_reachable:
             return Reason.NOT_READY
         if self.kind is ServiceKind.MODEL and not self.rollout.serving:
             return Reason.NOT_READY
@@ -121,47 +125,47 @@
         """Answer an entry's request."""
         body = request.read_body(MAX_BODY_BYTES)
         if not request.is_signed(self.context.settings.shared_key, body):
-            return self._refuse(Reason.UNAUTHENTICATED, status=401)
+            return self._reply_refused(Reason.UNAUTHENTICATED, status=401)
         decoded = decode_message(body, Work)
         if isinstance(decoded, Failure):
             self.context.events.emit(
                 EventKind.BAD_INPUT, error=str(decoded.failure()), path=request.path
             )
             self.context.metrics.count(Metric.BAD_INPUT)
-            return self._refuse(Reason.BAD_REQUEST, status=400)
+            return self._reply_refused(Reason.BAD_REQUEST, status=400)
         work = decoded.unwrap()
         self.context.events.merge(work.clock)
         return self._admit(work)
 
     def _admit(self, work: Work) -> HttpReply:
-        """Queue a request, wait for its slot and run it."""
+        """Queue a request, wait for a slot and run the request."""
         now = boottime()
         ticket = Ticket(
             work.request_id,
             work.account,
             work.priority,
             work.weight,
-            cost_of(work.body) if self.kind is ServiceKind.MODEL else DEFAULT_COST,
+            token_cost(work.body) if self.kind is ServiceKind.MODEL else DEFAULT_COST,
             Seconds(now + work.budget_ms / 1000.0),
         )
-        reason = self._why_not(work)
+        reason = self._refusal_reason(work)
         if reason is not None:
-            return self._refuse(reason, work)
-        come_back = self.queue.offer(ticket, now)
-        if come_back is not None:
-            return self._refuse(Reason.OVERLOADED, work, come_back)
-        self._count(+1)
+            return self._reply_refused(reason, work)
+        retry_after = self.queue.offer(ticket, now)
+        if retry_after is not None:
+            return self._reply_refused(Reason.OVERLOADED, work, retry_after)
+        self._change_in_flight(+1)
         admitted = self._wait_for_slot(ticket)
         if not admitted:
-            self._count(-1)
-            return self._refuse(Reason.DEADLINE, work, self.queue.service_time)
+            self._change_in_flight(-1)
+            return self._reply_refused(Reason.DEADLINE, work, self.queue.service_time)
         return self._run(work, ticket)
 
-    def _why_not(self, work: Work) -> Reason | None:
-        """Return why a request may not run, whatever the load."""
-        closed = self._closed_reason()
-        if closed is not None:
-            return closed
+    def _refusal_reason(self, work: Work) -> Reason | None:
+        """Return why a request must be refused at any load, or None."""
+        unavailable_reason = self._unavailable_reason()
+        if unavailable_reason is not None:
+            return unavailable_reason
         if work.budget_ms <= 0:
             return Reason.DEADLINE
         if work.version and work.version != self.rollout.serving:
@@ -174,88 +178,93 @@
 
     def _wait_for_slot(self, ticket: Ticket) -> bool:
         signal = Signal()
-        self.waiting[ticket.request_id] = signal
-        self._pump()
+        self.admission_signals[ticket.request_id] = signal
+        self._fill_slots()
         try:
             return bool(signal.wait())
         finally:
-            self.waiting.pop(ticket.request_id, None)
+            self.admission_signals.pop(ticket.request_id, None)
 
-    def _pump(self) -> None:
-        """Give free slots to those whose turn it is."""
+    def _fill_slots(self) -> None:
+        """Admit queued requests to the free slots."""
         for ticket in self.queue.admit(boottime()):
-            signal = self.waiting.get(ticket.request_id)
+            signal = self.admission_signals.get(ticket.request_id)
             if signal is None or signal.ready():
                 self.queue.running -= 1
             else:
                 signal.send(True)
 
-    def _expire(self) -> None:
+    def _expire_queued(self) -> None:
         while True:
-            eventlet.sleep(EXPIRY_SECONDS)
+            eventlet.sleep(EXPIRY_INTERVAL_SECONDS)
             for ticket in self.queue.expire(boottime()):
-                signal = self.waiting.get(ticket.request_id)
+                signal = self.admission_signals.get(ticket.request_id)
                 if signal is not None and not signal.ready():
                     signal.send(False)
 
-    def _count(self, change: int) -> None:
-        self.in_flight += change
+    def _change_in_flight(self, delta: int) -> None:
+        self.in_flight += delta
         self.context.metrics.gauge(Metric.IN_FLIGHT, self.in_flight)
         self.context.metrics.gauge(Metric.QUEUE_LENGTH, self.queue.waiting)
         self.changed.notify()
 
     def _run(self, work: Work, ticket: Ticket) -> HttpReply:
-        """Run an admitted request; its slot is given back when it ends."""
-        begun = boottime()
-        reason = self._why_not(work)
+        """Run an admitted request and release its slot at the end."""
+        started_at = boottime()
+        reason = self._refusal_reason(work)
         if reason is None and work.once and not self.register.start(work.request_id):
             if self.register.states[work.request_id].started:
-                # This start is refused, but the request was run: no proof.
-                self._end(begun)
-                return self._unknown(work, "started before", Reason.DUPLICATE_KEY)
+                # This start is refused, but an earlier start of the request ran it, so
+                # the reply must not claim that the request was not run.
+                self._release_slot(started_at)
+                return self._reply_unknown(work, "started before", Reason.DUPLICATE_KEY)
             reason = Reason.KEY_FENCED
         if reason is not None:
-            self._end(begun)
-            return self._refuse(reason, work)
+            self._release_slot(started_at)
+            return self._reply_refused(reason, work)
         self.context.events.emit(
             EventKind.REQUEST_ADMITTED,
             request=work.request_id,
             target=self.context.target,
             version=self.rollout.serving,
         )
-        left = ticket.deadline - begun
+        remaining = ticket.deadline - started_at
         try:
             if self.kind is ServiceKind.PLAIN:
-                return self._call_plain(work, left, begun)
-            return self._stream(work, left, begun)
+                return self._call_plain_service(work, remaining, started_at)
+            return self._start_stream(work, remaining, started_at)
         except NoConnection:
-            self._end(begun)
-            return self._refuse(Reason.ENGINE_FAILED, work, 1.0)
+            self._release_slot(started_at)
+            return self._reply_refused(Reason.ENGINE_FAILED, work, 1.0)
         except ExchangeFailed as error:
-            self._end(begun)
-            return self._unknown(work, str(error))
+            self._release_slot(started_at)
+            return self._reply_unknown(work, str(error))
 
-    def _end(self, begun: float) -> None:
-        self.queue.release(boottime() - begun)
-        self._count(-1)
-        self._pump()
+    def _release_slot(self, started_at: float) -> None:
+        self.queue.release(boottime() - started_at)
+        self._change_in_flight(-1)
+        self._fill_slots()
 
-    def _call_plain(self, work: Work, left: float, begun: float) -> HttpReply:
+    def _call_plain_service(
+        self, work: Work, remaining: float, started_at: float
+    ) -> HttpReply:
         path = self.context.settings.engine.path
-        response = self.context.engine.call(path, work.body, left)
+        response = self.context.engine.call(path, work.body, remaining)
         with closing(response):
             answer = b"".join(read_pieces(response, MAX_ANSWER_BYTES))
             status = response.status
-        self._end(begun)
+        self._release_slot(started_at)
         if status >= 500:
-            return self._unknown(work, f"service status {status}")
-        self._keep_answer(work, answer, "")
+            return self._reply_unknown(work, f"service status {status}")
+        self._store_answer(work, answer, "")
         headers = self._headers(Outcome.COMPLETED, Reason.ADMITTED)
         return HttpReply(
             status if status in (200, 400, 404, 409) else 200, answer, headers
         )
 
-    def _stream(self, work: Work, left: float, begun: float) -> HttpReply:
+    def _start_stream(
+        self, work: Work, remaining: float, started_at: float
+    ) -> HttpReply:
         serving = self.rollout.serving
         order = GenerateOrder(
             work.request_id,
@@ -264,57 +273,61 @@
             serving,
             work.priority,
         )
-        response = self.context.engine.generate(order, min(left, TOKEN_STALL_SECONDS))
+        response = self.context.engine.generate(
+            order, min(remaining, TOKEN_STALL_SECONDS)
+        )
         if response.status != 200:
-            self._end(begun)
-            return self._engine_refused(work, response)
+            self._release_slot(started_at)
+            return self._reply_engine_refused(work, response)
         headers = [
             ("Content-Type", "application/x-ndjson"),
             (VERSION_HEADER, serving),
             (LOAD_HEADER, str(self.in_flight)),
         ]
-        return HttpReply(200, self._relay(work, response, serving, begun), headers)
+        return HttpReply(200, self._relay(work, response, serving, started_at), headers)
 
-    def _engine_refused(self, work: Work, response: BaseHTTPResponse) -> HttpReply:
-        """Answer for an engine that says it did not run a request."""
+    def _reply_engine_refused(
+        self, work: Work, response: BaseHTTPResponse
+    ) -> HttpReply:
+        """Return the reply for an engine status other than 200."""
         with closing(response):
             if response.status == 400:
-                return self._refuse(Reason.BAD_REQUEST, work, status=400)
+                return self._reply_refused(Reason.BAD_REQUEST, work, status=400)
             if response.status == 409:
-                return self._refuse(Reason.WRONG_VERSION, work, 0.1)
+                return self._reply_refused(Reason.WRONG_VERSION, work, 0.1)
             if response.status in (429, 503):
-                return self._refuse(Reason.OVERLOADED, work, 0.5)
-            return self._unknown(work, f"engine status {response.status}")
+                return self._reply_refused(Reason.OVERLOADED, work, 0.5)
+            return self._reply_unknown(work, f"engine status {response.status}")
 
     def _relay(
-        self, work: Work, response: BaseHTTPResponse, serving: str, begun: float
+        self, work: Work, response: BaseHTTPResponse, serving: str, started_at: float
     ) -> Iterator[bytes]:
-        """Yield the engine's lines; an early end is never passed on as a whole."""
-        ended = False
+        """Yield the engine's lines; a truncated answer never ends as a complete one."""
+        completed = False
         lines: list[bytes] = []
         try:
             with closing(response):
                 for line in read_lines(response, MAX_LINE_BYTES):
                     event = decode(line, type=TokenEvent)
-                    ended = event.end is StreamEnd.DONE and event.version == serving
-                    if event.end is not None and not ended:
+                    completed = event.end is StreamEnd.DONE and event.version == serving
+                    if event.end is not None and not completed:
                         break
                     lines.append(line)
                     yield line + b"\n"
         except (ExchangeFailed, DecodeError):
-            ended = False
+            completed = False
         finally:
-            if not ended:
-                # The caller went away, or the engine failed: free its batch.
+            if not completed:
+                # Client disconnected or engine failed: free the request's batch slot.
                 eventlet.spawn_n(self.context.engine.cancel, work.request_id)
-            self._end(begun)
-        if ended:
-            self._keep_answer(work, b"\n".join(lines), serving)
+            self._release_slot(started_at)
+        if completed:
+            self._store_answer(work, b"\n".join(lines), serving)
         else:
             yield encode(TokenEvent(end=StreamEnd.FAILED, version=serving)) + b"\n"
 
-    def _keep_answer(self, work: Work, answer: bytes, version: str) -> None:
-        if work.key is not None and len(answer) <= MAX_KEPT_ANSWER_BYTES:
+    def _store_answer(self, work: Work, answer: bytes, version: str) -> None:
+        if work.key is not None and len(answer) <= MAX_STORED_ANSWER_BYTES:
             self.register.complete(work.request_id, answer, version)
 
     def _headers(self, outcome: Outcome, reason: Reason) -> list[tuple[str, str]]:
@@ -324,14 +337,14 @@
             (LOAD_HEADER, str(self.in_flight)),
         ]
 
-    def _refuse(
+    def _reply_refused(
         self,
         reason: Reason,
         work: Work | None = None,
-        come_back: float = 0.0,
+        retry_after: float = 0.0,
         status: int = 503,
     ) -> HttpReply:
-        """Answer that a request was not run and will not be."""
+        """Return the reply for a request that was not run and will not be run."""
         request = "" if work is None else work.request_id
         self.context.events.emit(
             EventKind.REQUEST_REFUSED,
@@ -340,11 +353,11 @@
             reason=reason.value,
         )
         headers = self._headers(Outcome.NOT_RUN, reason)
-        if come_back:
-            headers.append((RETRY_AFTER_HEADER, f"{come_back:.3f}"))
+        if retry_after:
+            headers.append((RETRY_AFTER_HEADER, f"{retry_after:.3f}"))
         return HttpReply(status, f"{reason.value}\n".encode(), headers)
 
-    def _unknown(
+    def _reply_unknown(
         self, work: Work, detail: str, reason: Reason = Reason.ENGINE_FAILED
     ) -> HttpReply:
         self.context.events.emit(
@@ -358,19 +371,22 @@
         return HttpReply(502, f"{detail}\n".encode(), headers)
 
     def drain(self) -> None:
-        """Admit nothing new and wait until all requests have ended."""
+        """Refuse new requests and wait until all admitted requests have ended.
+
+        The wait is limited by the setting ``drain_seconds``.
+        """
         self.stopping = True
         self.changed.notify()
-        limit = boottime() + self.context.settings.drain_seconds
-        while self.in_flight and boottime() < limit:
+        drain_deadline = boottime() + self.context.settings.drain_seconds
+        while self.in_flight and boottime() < drain_deadline:
             self.changed.wait(1.0)
 
 
-def cost_of(body: bytes) -> int:
-    """Return the work that a model request asks for, in tokens."""
+def token_cost(body: bytes) -> int:
+    """Return the cost of a model request: the tokens that it asks for."""
     try:
-        found = decode(body)
+        fields = decode(body)
     except DecodeError:
         return DEFAULT_COST
-    tokens = found.get("max_tokens") if isinstance(found, dict) else None
+    tokens = fields.get("max_tokens") if isinstance(fields, dict) else None
     return tokens if isinstance(tokens, int) and tokens > 0 else DEFAULT_COST
--- a/src/ridgecourse/agent/lease.py
+++ b/src/ridgecourse/agent/lease.py
@@ -1,4 +1,8 @@
-"""Takes the lease on the target's engine from the platform's log."""
+"""Acquires the lease on the target's engine through the platform's log.
+
+Only the agent that holds the lease may give orders to the engine. A lease is
+acquired by appending a record to the stream of leases and reading it back.
+"""
 
 from returns.result import Failure
 
@@ -12,11 +16,11 @@
 
 
 class LeaseKeeper:
-    """Holds this agent's lease and follows the stream of leases.
+    """Acquires this agent's lease and follows the stream of leases.
 
     Attributes:
-        lease: The decision logic.
-        offset: Next offset of the stream to read.
+        lease: Decides whether this agent holds the lease.
+        offset: Offset of the next record to read from the stream.
     """
 
     def __init__(self, context: AgentContext) -> None:
@@ -33,28 +37,29 @@
         """Append a lease record and read it back.
 
         Raises:
-            LogUnavailable: The log does not answer; no lease is held.
+            LogUnavailable: The log does not answer or returns no record; no lease
+                was acquired.
         """
         context = self.context
         seconds = context.settings.lease_seconds
         record = LeaseRecord(
             context.fleet, context.target, context.incarnation, seconds
         )
-        # What was there before must be known before the own record is made, so
-        # that the wait for its holder counts from a moment after its append.
+        # Earlier records must be read before this record is appended, so that the
+        # wait for the previous holder counts from a time after its append.
         self.catch_up()
-        sent = boottime()
+        append_started_at = boottime()
         token = context.log.append(Stream.LEASES, [encode_message(record)])
         self.catch_up()
         if self.offset <= token:
             raise LogUnavailable("the lease record cannot be read back")
-        self.lease.granted(token, sent, seconds, boottime())
+        self.lease.granted(token, append_started_at, seconds, boottime())
         context.events.emit(
             EventKind.LEASE_GRANTED, target=context.target, offset=token
         )
 
     def catch_up(self) -> None:
-        """Read all that the stream has.
+        """Read the stream up to its end.
 
         Raises:
             LogUnavailable: The log does not answer.
@@ -66,20 +71,20 @@
                 continue
             now = boottime()
             for data in batch.records:
-                self._observe(data, now)
+                self._apply_record(data, now)
             if self.offset >= batch.next:
                 return
 
-    def _observe(self, data: bytes, now: Seconds) -> None:
+    def _apply_record(self, data: bytes, now: Seconds) -> None:
         decoded = decode_message(data, LeaseRecord)
         if not isinstance(decoded, Failure):
             self.lease.observe(self.offset, decoded.unwrap(), now)
         self.offset = Offset(self.offset + 1)
 
     def may_order(self) -> bool:
-        """Tell whether an order may be given right now."""
+        """Check whether this agent may give orders at present."""
         return self.lease.may_order(boottime())
 
     def seconds_to_wait(self) -> float:
-        """Return how long the holder before may still give orders."""
+        """Return for how many seconds the previous holder may still give orders."""
         return max(0.0, self.lease.usable_from - boottime())
--- a/src/ridgecourse/agent/main.py
+++ b/src/ridgecourse/agent/main.py
@@ -12,11 +12,11 @@
 
 end_import_pause()
 
-DESCRIPTION = "Gate before one target, and its part in the exchange of weights."
+DESCRIPTION = "Controls admission to one target and takes part in the weight exchange."
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run an agent; return the exit code."""
+    """Run an agent process and return its exit code."""
     parser = make_parser("ridgecourse-agent", DESCRIPTION)
     return run_process(parser.parse_args(arguments), AgentSettings, Agent)
 
--- a/src/ridgecourse/agent/manifest_fetch.py
+++ b/src/ridgecourse/agent/manifest_fetch.py
@@ -1,4 +1,8 @@
-"""How an agent gets the manifest of a version: from another agent, or the origin."""
+"""Fetches the manifest of a version from another agent or from the origin.
+
+The agents of a service wait in ranked order before they ask the origin, and ask
+each other meanwhile, so that usually only one agent asks the origin.
+"""
 
 from collections.abc import Callable
 
@@ -20,80 +24,85 @@
 
 RETRY_SECONDS = 1.0
 MANIFEST_STAGGER_SECONDS = 0.5
-"""Each further agent waits this much longer before it asks the origin itself."""
+"""Extra delay, in seconds, of each further agent before it asks the origin."""
 MANIFEST_MAX_WAIT_SECONDS = 5.0
 
 
 class RolloutStopped(Exception):
-    """The attempt ended: superseded, or a named error."""
+    """The rollout attempt ended: the version was superseded, or an error occurred."""
 
 
-class ManifestFetch:
-    """Gets manifests.
+class ManifestFetcher:
+    """Fetches manifests.
 
     Attributes:
-        still_wanted: Tells whether a version is still to be brought in.
-        note_failure: Told what keeps a manifest from coming.
+        is_wanted: Returns whether a version is still to be deployed.
+        report_failure: Receives the error that keeps a manifest from arriving.
     """
 
     def __init__(
         self,
         context: AgentContext,
-        still_wanted: Callable[[Version], bool],
-        note_failure: Callable[[Version, str], None],
+        is_wanted: Callable[[Version], bool],
+        report_failure: Callable[[Version, str], None],
     ) -> None:
         self.context = context
-        self.still_wanted = still_wanted
-        self.note_failure = note_failure
+        self.is_wanted = is_wanted
+        self.report_failure = report_failure
 
     def fetch(self, version: Version, peers: dict[TargetName, Target]) -> Holding:
-        """Get the manifest from another agent, or from the origin.
+        """Fetch the manifest from another agent or from the origin.
 
-        The agents ask the origin one after another, so that as a rule one does.
+        The agents ask the origin one after another, so that usually only one
+        agent asks.
 
         Args:
-            version: Whose manifest.
+            version: The version whose manifest is fetched.
             peers: The other agents of the service.
 
         Raises:
-            RolloutStopped: The version is not wanted any more, or what came is not
+            RolloutStopped: The version is superseded, or the data received is not
                 its manifest.
         """
         root = version.root_digest
-        order = rendezvous_rank(f"{root}/manifest", [*peers, self.context.target])
-        rank = order.index(self.context.target)
-        patience = min(rank * MANIFEST_STAGGER_SECONDS, MANIFEST_MAX_WAIT_SECONDS)
-        ask_origin = boottime() + patience
-        asked = 0
-        while self.still_wanted(version):
+        ranked = rendezvous_rank(f"{root}/manifest", [*peers, self.context.target])
+        rank = ranked.index(self.context.target)
+        origin_delay = min(rank * MANIFEST_STAGGER_SECONDS, MANIFEST_MAX_WAIT_SECONDS)
+        ask_origin_at = boottime() + origin_delay
+        peer_requests = 0
+        while self.is_wanted(version):
             data = None
-            if boottime() >= ask_origin:
-                data = self._manifest_from_origin(version)
-                ask_origin = boottime() + RETRY_SECONDS
+            if boottime() >= ask_origin_at:
+                data = self._fetch_from_origin(version)
+                ask_origin_at = boottime() + RETRY_SECONDS
             elif peers:
-                # The first ones are likely to have it; the others spread it.
-                near = order[: max(4, rank)]
-                name = TargetName(near[asked % len(near)])
-                asked += 1
+                # The first agents by rank are likely to have the manifest; later agents
+                # fetch it from agents of a lower rank.
+                likely_holders = ranked[: max(4, rank)]
+                name = TargetName(likely_holders[peer_requests % len(likely_holders)])
+                peer_requests += 1
                 if name != self.context.target:
-                    data = self._manifest_from_peer(peers[name], root)
+                    data = self._fetch_from_peer(peers[name], root)
             if data is not None:
-                return self._check_manifest(root, data)
+                return self._parse_manifest(root, data)
             eventlet.sleep(0.05)
         raise RolloutStopped("superseded")
 
-    def _manifest_from_origin(self, version: Version) -> bytes | None:
-        """Ask the origin; without an answer the others are asked meanwhile."""
-        before = self.context.origin.drawn
+    def _fetch_from_origin(self, version: Version) -> bytes | None:
+        """Fetch the manifest from the origin; None if the origin is unavailable.
+
+        Until the next try at the origin the peers are asked.
+        """
+        previous_bytes = self.context.origin.drawn
         try:
             data = self.context.origin.manifest(version.origin_path)
         except OriginUnavailable as error:
-            self.note_failure(version, f"origin-unavailable: {error}")
+            self.report_failure(version, f"origin-unavailable: {error}")
             return None
-        self.context.counts.from_origin += self.context.origin.drawn - before
+        self.context.counts.from_origin += self.context.origin.drawn - previous_bytes
         return data
 
-    def _manifest_from_peer(self, peer: Target, root: RootDigest) -> bytes | None:
+    def _fetch_from_peer(self, peer: Target, root: RootDigest) -> bytes | None:
         path = f"{MANIFEST_PATH}{root}"
         headers = {
             AUTH_HEADER: sign_request(self.context.settings.shared_key, "GET", path)
@@ -106,7 +115,7 @@
             return None
         return data if status == 200 else None
 
-    def _check_manifest(self, root: RootDigest, data: bytes) -> Holding:
+    def _parse_manifest(self, root: RootDigest, data: bytes) -> Holding:
         parsed = parse_manifest(data, root)
         if isinstance(parsed, Failure):
             raise RolloutStopped(f"bad-manifest: {render_findings(parsed.failure())}")
--- a/src/ridgecourse/agent/rollout.py
+++ b/src/ridgecourse/agent/rollout.py
@@ -1,8 +1,9 @@
-"""Brings the engine to the version that the configuration places.
+"""Deploys the version that the configuration places to the target's engine.
 
-Phases: fetch the manifest, fetch the chunks, have the engine load and verify
-the whole, order it to serve the version all at once, read back what it serves.
-A failure at any point leaves the old version serving.
+A rollout fetches the manifest and the chunks, orders the engine to load and verify
+the complete version, orders it to switch to the version in one step, and reads
+back which version the engine serves. After a failure in any phase the old version
+keeps serving.
 """
 
 import logging
@@ -16,7 +17,7 @@
 from ridgecourse.agent.lease import LeaseKeeper
 from ridgecourse.agent.manifest_fetch import (
     RETRY_SECONDS,
-    ManifestFetch,
+    ManifestFetcher,
     RolloutStopped,
 )
 from ridgecourse.core.config_objects import Service, Target, Version
@@ -43,7 +44,7 @@
 
 
 class Phase(Enum):
-    """Where a rollout stands at a target."""
+    """Phase of a rollout at a target."""
 
     IDLE = "idle"
     MANIFEST = "manifest"
@@ -58,44 +59,46 @@
     """Runs rollouts one after another.
 
     Attributes:
-        phase: Where the present one stands.
-        serving: Root digest that the engine was last seen to serve.
-        error: What keeps the present one from going on.
-        changed: Notified when any of these change.
+        phase: Phase of the present rollout.
+        serving: Root digest of the version that the engine served at the last
+            poll.
+        error: Error that blocks the present rollout; empty if there is none.
+        engine_reachable: Whether the engine answered the last poll.
+        changed: Notified when any of these attributes change.
     """
 
     def __init__(self, context: AgentContext, exchange: Exchange) -> None:
         self.context = context
         self.exchange = exchange
         self.leases = LeaseKeeper(context)
-        self.manifests = ManifestFetch(
-            context, self._still_wanted, self._note_no_manifest
+        self.manifests = ManifestFetcher(
+            context, self._is_wanted, self._report_manifest_failure
         )
         self.phase = Phase.IDLE
         self.serving = ""
         self.error = ""
-        self.engine_seen = False
+        self.engine_reachable = False
         self.changed = Broadcast()
         self.wanted: Version | None = None
         self.holding: Holding | None = None
         self.transfer: Transfer | None = None
-        self.transferred: Version | None = None
+        self.transfer_version: Version | None = None
         self.threads: list[eventlet.greenthread.GreenThread] = []
 
     def start(self) -> None:
-        """Follow configuration and engine."""
-        for work in (self._watch_config, self._watch_engine, self._work):
-            self.threads.append(spawn_loop(work))
+        """Start the threads that follow the configuration and the engine."""
+        for loop in (self._watch_config, self._watch_engine, self._run):
+            self.threads.append(spawn_loop(loop))
 
     def close(self) -> None:
-        """Stop what is in progress."""
+        """Stop the transfer in progress and all threads."""
         if self.transfer is not None:
             self.transfer.close()
         for thread in self.threads:
             thread.kill()
 
     def target(self) -> Target | None:
-        """Return this agent's target as configured."""
+        """Return the configuration of this agent's target, None if there is none."""
         key = (self.context.fleet, self.context.target)
         return self.context.config.state.targets.get(key)
 
@@ -108,19 +111,19 @@
         return services.get((target.fleet, target.service))
 
     def progress(self) -> tuple[int, int]:
-        """Return bytes held and bytes in all of the version being placed."""
+        """Return the bytes held, and the total bytes, of the version in rollout."""
         if self.holding is None:
             return 0, 0
         return self.holding.held_bytes(), self.holding.unique_bytes
 
-    def _set(self, phase: Phase, error: str = "") -> None:
+    def _set_phase(self, phase: Phase, error: str = "") -> None:
         if (phase, error) != (self.phase, self.error):
             self.phase = phase
             self.error = error
             self.changed.notify()
 
-    def _find_wanted(self) -> Version | None:
-        """Return the version to bring in, None for nothing to do."""
+    def _wanted_version(self) -> Version | None:
+        """Return the version that the engine must serve; None if there is none."""
         target = self.target()
         service = self.service()
         if service is None or target is None or target.leaving or service.halted:
@@ -128,79 +131,79 @@
         return service.placed
 
     def _watch_config(self) -> None:
-        """Drop a transfer as soon as its version is no longer wanted."""
+        """Cancel a transfer as soon as its version is not wanted any more."""
         while True:
-            self.wanted = self._find_wanted()
+            self.wanted = self._wanted_version()
             transfer = self.transfer
-            version = self.transferred
+            version = self.transfer_version
             if transfer is not None and version is not None:
-                if not self._still_wanted(version):
+                if not self._is_wanted(version):
                     transfer.cancel()
-            # With a bound, since a change may come while a transfer is cancelled.
+            # The wait is bounded, since a change may arrive during a cancellation.
             self.context.config.changed.wait(RETRY_SECONDS)
 
-    def _still_wanted(self, version: Version) -> bool:
-        wanted = self._find_wanted()
+    def _is_wanted(self, version: Version) -> bool:
+        wanted = self._wanted_version()
         return wanted is not None and wanted.root_digest == version.root_digest
 
     def _watch_engine(self) -> None:
-        """Keep track of what the engine really serves."""
+        """Poll the engine for the version that it serves."""
         while True:
             state = self.context.engine.state()
-            self._see_engine(state)
+            self._record_engine_state(state)
             eventlet.sleep(ENGINE_POLL_SECONDS)
 
-    def _see_engine(self, state: EngineState | None) -> None:
+    def _record_engine_state(self, state: EngineState | None) -> None:
         serving = "" if state is None else state.active
-        seen = state is not None
-        if (serving, seen) != (self.serving, self.engine_seen):
+        reachable = state is not None
+        if (serving, reachable) != (self.serving, self.engine_reachable):
             self.serving = serving
-            self.engine_seen = seen
+            self.engine_reachable = reachable
             self.changed.notify()
 
-    def _work(self) -> None:
+    def _run(self) -> None:
         while True:
-            version = self._find_wanted()
+            version = self._wanted_version()
             if version is None:
                 service = self.service()
                 halted = service is not None and service.halted
-                self._set(Phase.HALTED if halted else Phase.IDLE)
+                self._set_phase(Phase.HALTED if halted else Phase.IDLE)
                 self.context.config.changed.wait(RETRY_SECONDS)
-            elif not self.engine_seen:
-                # What it serves is not known; it may be the version wanted.
+            elif not self.engine_reachable:
+                # The served version is unknown; it may already be the wanted one.
                 self.changed.wait(RETRY_SECONDS)
             elif version.root_digest == self.serving:
-                self._set(Phase.SERVING)
+                self._set_phase(Phase.SERVING)
                 self.changed.wait(RETRY_SECONDS)
             else:
-                self._attempt(version)
+                self._try_deploy(version)
 
-    def _attempt(self, version: Version) -> None:
-        """Try once to bring a version in; errors are kept and tried again."""
+    def _try_deploy(self, version: Version) -> None:
+        """Try to deploy a version; record an error, so that the caller retries."""
         try:
-            self._bring_in(version)
+            self._deploy(version)
         except RolloutStopped as error:
-            self._fail(version, str(error))
+            self._handle_failure(version, str(error))
         except (TransferError, OutOfBudget) as error:
-            kind = "out-of-budget: " if isinstance(error, OutOfBudget) else ""
-            self._fail(version, f"{kind}{error}")
+            prefix = "out-of-budget: " if isinstance(error, OutOfBudget) else ""
+            self._handle_failure(version, f"{prefix}{error}")
         except LogUnavailable as error:
-            self._fail(version, f"no-lease: {error}")
+            self._handle_failure(version, f"no-lease: {error}")
 
-    def _fail(self, version: Version, error: str) -> None:
-        if not self._still_wanted(version):
+    def _handle_failure(self, version: Version, error: str) -> None:
+        if not self._is_wanted(version):
             self.context.events.emit(
                 EventKind.ROLLOUT_DROPPED,
                 target=self.context.target,
                 version=version.root_digest,
             )
             return
-        self._note_failure(version, error)
-        self._set(Phase.FAILED, error)
+        self._report_failure(version, error)
+        self._set_phase(Phase.FAILED, error)
         eventlet.sleep(RETRY_SECONDS)
 
-    def _note_failure(self, version: Version, error: str) -> None:
-        """Report an error in the event stream, once while it lasts."""
+    def _report_failure(self, version: Version, error: str) -> None:
+        """Emit an event for an error, once for as long as the error lasts."""
         if error != self.error:
             self.context.events.emit(
                 EventKind.ROLLOUT_FAILED,
@@ -209,14 +212,14 @@
                 error=error,
             )
 
-    def _note_no_manifest(self, version: Version, error: str) -> None:
-        self._note_failure(version, error)
-        self._set(Phase.MANIFEST, error)
+    def _report_manifest_failure(self, version: Version, error: str) -> None:
+        self._report_failure(version, error)
+        self._set_phase(Phase.MANIFEST, error)
 
-    def _bring_in(self, version: Version) -> None:
+    def _deploy(self, version: Version) -> None:
         self._emit(EventKind.ROLLOUT_STARTED, version)
-        holding = self._hold(version)
-        # The engine loads while chunks come in, so that it is done soon after.
+        holding = self._prepare_holding(version)
+        # The engine loads while chunks arrive, so that loading ends soon after them.
         load = eventlet.spawn(self._load, version)
         try:
             self._transfer(version, holding)
@@ -235,39 +238,45 @@
             kind, target=self.context.target, version=version.root_digest
         )
 
-    def _hold(self, version: Version) -> Holding:
-        """Get the manifest, make room, and join the version's exchange."""
+    def _prepare_holding(self, version: Version) -> Holding:
+        """Fetch the manifest, make room and join the exchange of the version."""
         holding = self.exchange.holdings.get(version.root_digest)
         if holding is None:
-            self._set(Phase.MANIFEST, self.error)
+            self._set_phase(Phase.MANIFEST, self.error)
             holding = self.manifests.fetch(version, self._peers())
-        kept = [
-            other.manifest
-            for root, other in reversed(self.exchange.holdings.items())
+        other_manifests = [
+            other_holding.manifest
+            for root, other_holding in reversed(self.exchange.holdings.items())
             if root != version.root_digest
         ]
-        self.context.store.make_room(holding.manifest, *kept)
+        self.context.store.make_room(holding.manifest, *other_manifests)
         for root in list(self.exchange.holdings):
-            other = self.exchange.holdings[root]
-            if root != version.root_digest and not self._is_whole(other):
+            other_holding = self.exchange.holdings[root]
+            if root != version.root_digest and not self._is_complete(other_holding):
                 self.exchange.leave(root)
         self.holding = holding
         self.exchange.join(holding)
         return holding
 
-    def _is_whole(self, holding: Holding) -> bool:
-        held = self.context.store.held_of(holding.places)
-        return len(held) == len(holding.places)
+    def _is_complete(self, holding: Holding) -> bool:
+        stored_digests = self.context.store.held_of(holding.places)
+        return len(stored_digests) == len(holding.places)
 
     def _peers(self) -> dict[TargetName, Target]:
         target = self.target()
         if target is None:
             return {}
-        found = self.context.config.state.service_targets(target.fleet, target.service)
-        return {t.target: t for t in found if t.target != self.context.target}
+        service_targets = self.context.config.state.service_targets(
+            target.fleet, target.service
+        )
+        return {
+            peer.target: peer
+            for peer in service_targets
+            if peer.target != self.context.target
+        }
 
     def _transfer(self, version: Version, holding: Holding) -> None:
-        self._set(Phase.TRANSFER, self.error)
+        self._set_phase(Phase.TRANSFER, self.error)
         fleet = self.context.config.state.fleets[self.context.fleet]
         origin = self.context.origin.version(version.origin_path)
         peers = {
@@ -277,7 +286,7 @@
         self.transfer = Transfer(
             self.context.exchange, origin, holding, peers, fleet.origin_copies
         )
-        self.transferred = version
+        self.transfer_version = version
         reporter = eventlet.spawn(self._report_progress, self.transfer)
         try:
             complete = self.transfer.run()
@@ -291,14 +300,20 @@
     def _report_progress(self, transfer: Transfer) -> None:
         while True:
             eventlet.sleep(RETRY_SECONDS)
-            self._set(Phase.TRANSFER, transfer.error)
+            self._set_phase(Phase.TRANSFER, transfer.error)
             self.changed.notify()
 
-    def _order(self, version: Version) -> Offset:
-        """Return a fencing token under which an order may be given right now."""
+    def _acquire_fencing_token(self, version: Version) -> Offset:
+        """Acquire the lease and return a fencing token for an order to the engine.
+
+        Raises:
+            RolloutStopped: The version is superseded, or another agent holds the
+                lease.
+            LogUnavailable: The log does not answer.
+        """
         self.leases.acquire()
         eventlet.sleep(self.leases.seconds_to_wait())
-        if not self._still_wanted(version):
+        if not self._is_wanted(version):
             raise RolloutStopped("superseded")
         token = self.leases.lease.token
         if token is None or not self.leases.may_order():
@@ -306,9 +321,13 @@
         return token
 
     def _load(self, version: Version) -> Result[OrderResult, str]:
-        """Have the engine load; a fault is returned for the one who waits."""
+        """Order the engine to load a version.
+
+        This method runs in a thread of its own, so that it returns an error to
+        the waiting thread instead of raising it.
+        """
         try:
-            token = self._order(version)
+            token = self._acquire_fencing_token(version)
         except RolloutStopped as error:
             return Failure(str(error))
         except LogUnavailable as error:
@@ -320,22 +339,22 @@
         order = LoadOrder(version.root_digest, source, ticket, token)
         result = self.context.engine.load(order)
         if result is not OrderResult.DONE:
-            return Failure(self._describe_order(result, "load"))
+            return Failure(self._report_failed_order(result, "load"))
         self._emit(EventKind.VERSION_LOADED, version)
         return Success(result)
 
     def _activate(self, version: Version) -> None:
-        self._set(Phase.ACTIVATE)
-        token = self._order(version)
+        self._set_phase(Phase.ACTIVATE)
+        token = self._acquire_fencing_token(version)
         result = self.context.engine.activate(ActivateOrder(version.root_digest, token))
-        # Whatever the answer was, what counts is what the engine serves.
-        self._see_engine(self.context.engine.state())
+        # The version that the engine serves decides, not the reply to the order.
+        self._record_engine_state(self.context.engine.state())
         if self.serving != version.root_digest:
-            raise RolloutStopped(self._describe_order(result, "activate"))
-        self._set(Phase.SERVING)
+            raise RolloutStopped(self._report_failed_order(result, "activate"))
+        self._set_phase(Phase.SERVING)
 
-    def _describe_order(self, result: OrderResult, order: str) -> str:
-        """Note an order that was not carried out; return it as an error."""
+    def _report_failed_order(self, result: OrderResult, order: str) -> str:
+        """Emit an event for an order that failed and return the error text."""
         self.context.events.emit(
             EventKind.ORDER_REFUSED,
             target=self.context.target,
--- a/src/ridgecourse/agent/settings.py
+++ b/src/ridgecourse/agent/settings.py
@@ -9,15 +9,16 @@
 
 
 class EngineSettings(Settings):
-    """The engine or plain service of the target.
+    """Settings of the engine or plain service behind the agent.
 
     Attributes:
-        address: HOST:PORT.
+        address: HOST:PORT of the engine.
         kind: "model" or "plain".
-        slots: Requests that it runs at once.
-        fenced: Whether it refuses orders with an old fencing token.
-        api_token: Sent with every order, for engines that check who orders.
-        path: Path of a plain service's calls.
+        slots: Number of requests that the engine runs at once.
+        fenced: Whether the engine rejects orders with an old fencing token.
+        api_token: Token sent with every order, for engines that authenticate
+            the sender of orders.
+        path: HTTP path of the calls of a plain service.
     """
 
     address: AddressText
@@ -29,15 +30,17 @@
 
 
 class LinkSettings(Settings):
-    """What weight transfer may use of the instance's link.
+    """Limits of weight transfer on the instance's network link.
 
     Attributes:
-        upload_bytes_per_s: None for no limit.
-        download_bytes_per_s: None for no limit.
-        upload_slots: Chunks sent to other agents at a time.
-        upload_queue: Requests that may wait for a slot.
-        uploads_per_chunk: Times that a chunk is sent to agents of the own
-            domain, and of others, before that is left to those who got it.
+        upload_bytes_per_s: Upload rate in bytes per second; None for no limit.
+        download_bytes_per_s: Download rate in bytes per second; None for no
+            limit.
+        upload_slots: Number of chunks sent to other agents at a time.
+        upload_queue: Number of requests that may wait for an upload slot.
+        uploads_per_chunk: How often a chunk is sent to agents of the own domain,
+            and to agents of other domains, before further uploads are left to
+            the agents that received the chunk.
     """
 
     upload_bytes_per_s: float | None = Field(None, gt=0)
@@ -48,7 +51,7 @@
 
 
 class PlanSettings(Settings):
-    """Bounds of the chunk planner; see ``PlanPolicy``."""
+    """Limits of the chunk planner; see ``PlanPolicy``."""
 
     classes: int = Field(8, ge=1, le=64)
     neighbours: int = Field(12, ge=1)
@@ -63,23 +66,24 @@
 
     Attributes:
         process: Name of this process.
-        domain: Failure domain it runs in.
-        fleet: Fleet of its target.
-        target: Its target.
-        http: HOST:PORT for requests and chunks; port 0 takes a free one.
-        control: HOST:PORT for control connections.
+        domain: Failure domain that the agent runs in.
+        fleet: Fleet of the agent's target.
+        target: Name of the agent's target.
+        http: HOST:PORT to listen on for requests and chunks; port 0 selects a
+            free port.
+        control: HOST:PORT to listen on for control connections.
         log: HOST:PORT of the platform's log.
         origin: HOST:PORT of the origin of weights.
         engine: The engine behind the agent.
         link: Limits of weight transfer.
-        plan: Bounds of the chunk planner.
-        staging_bytes: Memory for chunks; the agent has no disk.
-        source: Local address that connections are made from; None for any.
-        shared_key: Proves the system's processes to each other.
-        heartbeat_seconds: Between two reports to an entry without a change.
-        lease_seconds: Length of a lease on the engine.
+        plan: Limits of the chunk planner.
+        staging_bytes: Memory for chunks, in bytes; the agent has no disk.
+        source: Local address to open connections from; None for any.
+        shared_key: Key with which the system's processes authenticate each other.
+        heartbeat_seconds: Interval between reports to an entry without a change.
+        lease_seconds: Duration of a lease on the engine.
         drain_seconds: Longest wait for requests in progress at a planned stop.
-        statsd: HOST:PORT for metrics; none are sent without it.
+        statsd: HOST:PORT that metrics are sent to; None to send no metrics.
     """
 
     process: str = Field(min_length=1)
--- a/src/ridgecourse/entry/admin.py
+++ b/src/ridgecourse/entry/admin.py
@@ -181,7 +181,7 @@
         return self._submit(ctx, request.header, change)
 
     def leave_target(self, request: pb.LeaveTargetRequest, ctx: Any) -> pb.ChangeReply:
-        """Take a target out of service."""
+        """Remove a target from service."""
         fleet = FleetName(check_name("fleet", request.fleet))
         target = TargetName(check_name("target", request.target))
         return self._submit(ctx, request.header, LeaveTarget(fleet, target))
--- a/src/ridgecourse/entry/chooser.py
+++ b/src/ridgecourse/entry/chooser.py
@@ -1,7 +1,7 @@
 """Chooses the target for each attempt of a request.
 
 The chooser reduces a service's targets to this entry's subset, drops the targets
-that were tried or that report that they are not ready, and lets the router pick
+that were tried and those that report that they are not ready, and lets the router pick
 one of the rest by load.
 """
 
--- a/src/ridgecourse/entry/links.py
+++ b/src/ridgecourse/entry/links.py
@@ -106,11 +106,11 @@
     def view(self, target: Target) -> AgentView:
         """Return the state of a target's agent; create it if there is none."""
         key = (target.fleet, target.target)
-        found = self.views.get(key)
-        if found is None:
-            found = AgentView(TargetLoad(target.target, target.domain))
-            self.views[key] = found
-        return found
+        agent_view = self.views.get(key)
+        if agent_view is None:
+            agent_view = AgentView(TargetLoad(target.target, target.domain))
+            self.views[key] = agent_view
+        return agent_view
 
     def _read_instances(self) -> None:
         address = self.context.settings.instances
--- a/src/ridgecourse/entry/reports.py
+++ b/src/ridgecourse/entry/reports.py
@@ -49,7 +49,10 @@
     def collect(
         self, fleet: FleetName, service: ServiceName
     ) -> dict[TargetName, TargetReport]:
-        """Return the reports of a service's targets; unreachable ones are left out."""
+        """Return the reports of a service's targets.
+
+        Targets without a report at this entry or at a reachable peer are left out.
+        """
         state = self.context.config.state
         targets = list(state.service_targets(fleet, service))
         reports = {report.target: report for report in self.local_reports(targets)}
