--- a/src/ridgecourse/entry/chooser.py
+++ b/src/ridgecourse/entry/chooser.py
@@ -1,8 +1,8 @@
 """Chooses the target for each attempt of a request.
 
 The chooser reduces a service's targets to this entry's subset, drops the targets
-that were tried and those that report that they are not ready, and lets the router pick
-one of the rest by load.
+that were tried and those that report that they are not ready, and lets the router
+pick one of the remaining targets by load.
 """
 
 from collections.abc import Iterator
--- a/src/ridgecourse/entry/dispatch.py
+++ b/src/ridgecourse/entry/dispatch.py
@@ -254,7 +254,7 @@
                 resumed = self._resume(call, tried, sent_tokens, first_stream.version)
                 if resumed is None:
                     break
-                stream, chosen = resumed
+                stream, candidate = resumed
                 tried.add(candidate.target.target)
             outcome_recorded = True
             yield self.replies.final_line(
