--- a/src/ridgecourse/native/__init__.py
+++ b/src/ridgecourse/native/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the log, instance list, origin and engines in our own protocol."""
+"""HTTP clients for the log, the instance list, the origin and the engines."""
--- a/src/ridgecourse/native/engine.py
+++ b/src/ridgecourse/native/engine.py
@@ -1,4 +1,8 @@
-"""Client of a model engine or plain service; docs/ENGINE.md has the protocol."""
+"""HTTP client for a model engine or a plain service.
+
+An agent uses the client to load and activate versions and to forward requests.
+docs/ENGINE.md specifies the protocol.
+"""
 
 from contextlib import closing
 from enum import Enum
@@ -11,11 +15,20 @@
 from ridgecourse.net.http_client import ExchangeFailed, HttpClient, NoConnection
 
 LOAD_SECONDS = 3600.0
+"""Timeout of a load order, in seconds."""
 ORDER_SECONDS = 10.0
+"""Timeout of an activation order, in seconds."""
 
 
 class OrderResult(Enum):
-    """What became of an order to an engine."""
+    """Outcome of an order to an engine.
+
+    Attributes:
+        DONE: The engine carried out the order.
+        REFUSED_TOKEN: The engine has seen a higher fencing token.
+        REFUSED: The engine rejected the order or could not be reached.
+        UNKNOWN: The exchange failed; the engine may have carried out the order.
+    """
 
     DONE = "done"
     REFUSED_TOKEN = "refused-token"
@@ -24,13 +37,13 @@
 
 
 class EngineState(Struct, frozen=True):
-    """What an engine says of itself.
+    """State that an engine reports in reply to ``/v1/state``.
 
     Attributes:
-        active: Root digest of the version it serves; empty for none.
-        staged: Root digests of versions loaded but not served.
-        token: Highest fencing token it has seen.
-        running: Requests it runs.
+        active: Root digest of the version being served; empty if there is none.
+        staged: Root digests of the versions that are loaded but not served.
+        token: Highest fencing token that the engine has seen; -1 if none.
+        running: Number of requests in progress.
     """
 
     active: str = ""
@@ -43,9 +56,9 @@
     """Order to load a version from an agent.
 
     Attributes:
-        root: The version.
-        source: HOST:PORT of the agent that holds its chunks.
-        ticket: Lets the engine fetch from that agent.
+        root: Root digest of the version.
+        source: HOST:PORT of the agent that stores the version's chunks.
+        ticket: Credential with which the engine fetches chunks from the agent.
         token: Fencing token.
     """
 
@@ -56,21 +69,26 @@
 
 
 class ActivateOrder(Struct, frozen=True):
-    """Order to serve a loaded version from now on."""
+    """Order to switch serving to a loaded version.
+
+    Attributes:
+        root: Root digest of the version.
+        token: Fencing token.
+    """
 
     root: RootDigest
     token: int
 
 
 class GenerateOrder(Struct, frozen=True):
-    """A request to an engine.
+    """Inference request to an engine.
 
     Attributes:
-        request_id: For cancelling.
-        body: The caller's body, as text.
-        start_at: Tokens that the caller already has.
-        expect: Root digest that must answer.
-        priority: Higher goes first.
+        request_id: Identifier with which the request can be cancelled.
+        body: Body of the client's request, as text.
+        start_at: Number of answer tokens that the client has already received.
+        expect: Root digest of the version that must produce the answer.
+        priority: Scheduling priority; higher values run first.
     """
 
     request_id: str
@@ -81,11 +99,13 @@
 
 
 class EngineClient:
-    """Orders and requests to one engine.
+    """Sends orders and requests to one engine.
 
     Attributes:
         address: HOST:PORT of the engine.
-        api_token: Sent with every order, for engines that check who orders.
+        http: HTTP client that carries the exchanges.
+        api_token: Bearer token sent with every order and request, for engines that
+            authenticate their callers; empty for none.
     """
 
     def __init__(self, address: str, http: HttpClient, api_token: str = "") -> None:
@@ -94,7 +114,7 @@
         self.api_token = api_token
 
     def state(self) -> EngineState | None:
-        """Return the engine's state, None where it cannot be had."""
+        """Return the engine's state, or None if it cannot be read within 2.0 s."""
         try:
             status, data, _ = self.http.fetch(
                 "GET", self.address, "/v1/state", headers=self._headers(), timeout=2.0
@@ -105,18 +125,23 @@
 
     def load(self, order: LoadOrder) -> OrderResult:
         """Order the engine to fetch and verify a version."""
-        return self._order("/v1/load", encode(order), LOAD_SECONDS)
+        return self._send_order("/v1/load", encode(order), LOAD_SECONDS)
 
     def activate(self, order: ActivateOrder) -> OrderResult:
-        """Order the engine to serve a loaded version, all at once."""
-        return self._order("/v1/activate", encode(order), ORDER_SECONDS)
+        """Order the engine to switch atomically to a loaded version."""
+        return self._send_order("/v1/activate", encode(order), ORDER_SECONDS)
 
     def generate(self, order: GenerateOrder, timeout: float) -> BaseHTTPResponse:
-        """Start a request and return its streamed answer.
+        """Start an inference request and return the streamed response.
+
+        Args:
+            order: The request.
+            timeout: Timeout of the exchange, in seconds.
 
         Raises:
-            NoConnection: The engine has not got it.
-            ExchangeFailed: The engine may have got it.
+            NoConnection: The request was not sent to the engine.
+            ExchangeFailed: The exchange failed; the engine may have received the
+                request.
         """
         return self.http.send(
             "POST",
@@ -129,18 +154,24 @@
         )
 
     def call(self, path: str, body: bytes, timeout: float) -> BaseHTTPResponse:
-        """Send a request to a plain service.
+        """Send a request to a plain service and return the response.
+
+        Args:
+            path: Path of the request.
+            body: Body of the request.
+            timeout: Timeout of the exchange, in seconds.
 
         Raises:
-            NoConnection: The service has not got it.
-            ExchangeFailed: The service may have got it.
+            NoConnection: The request was not sent to the service.
+            ExchangeFailed: The exchange failed; the service may have received the
+                request.
         """
         return self.http.send(
             "POST", self.address, path, body, self._headers(), timeout, fresh=True
         )
 
     def cancel(self, request_id: str) -> None:
-        """Ask the engine to stop a request; best effort."""
+        """Ask the engine to cancel a request, on a best-effort basis."""
         try:
             with closing(
                 self.http.send(
@@ -161,7 +192,7 @@
             return {}
         return {"Authorization": f"Bearer {self.api_token}"}
 
-    def _order(self, path: str, body: bytes, timeout: float) -> OrderResult:
+    def _send_order(self, path: str, body: bytes, timeout: float) -> OrderResult:
         try:
             status, data, _ = self.http.fetch(
                 "POST", self.address, path, body, self._headers(), timeout
--- a/src/ridgecourse/native/instances.py
+++ b/src/ridgecourse/native/instances.py
@@ -1,6 +1,7 @@
-"""Client of the platform's instance list, which lags and may be wrong.
+"""HTTP client for the platform's instance list.
 
-Nothing that must hold depends on it; it saves connections and finds peers.
+The list is eventually consistent and may be wrong, so correctness does not depend
+on it. Processes use the list to find peers and to avoid needless connections.
 """
 
 from enum import Enum
@@ -14,14 +15,22 @@
 
 
 class InstanceState(Enum):
-    """State of an instance as the platform sees it."""
+    """State of an instance according to the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Instance(Struct, frozen=True):
-    """An instance of the list."""
+    """An entry of the instance list.
+
+    Attributes:
+        process: Name of the process that runs on the instance.
+        domain: Failure domain of the instance.
+        role: Role of the process, such as "entry".
+        address: HOST:PORT of the process.
+        state: State of the instance according to the platform.
+    """
 
     process: ProcessName
     domain: DomainName
@@ -31,30 +40,35 @@
 
 
 class InstanceSnapshot(NamedTuple):
-    """The list as last read."""
+    """Snapshot of the instance list."""
 
     instances: tuple[Instance, ...]
 
     def entries(self, domain: DomainName) -> tuple[Instance, ...]:
-        """Return the live entries of a failure domain."""
+        """Return the live instances with role "entry" in a failure domain."""
         return tuple(
-            found
-            for found in self.instances
-            if found.role == "entry"
-            and found.domain == domain
-            and found.state is InstanceState.LIVE
+            instance
+            for instance in self.instances
+            if instance.role == "entry"
+            and instance.domain == domain
+            and instance.state is InstanceState.LIVE
         )
 
 
 class InstanceListClient:
-    """Reads the instance list."""
+    """Reads the instance list.
+
+    Attributes:
+        address: HOST:PORT of the instance list service.
+        http: HTTP client that carries the requests.
+    """
 
     def __init__(self, address: str, http: HttpClient) -> None:
         self.address = address
         self.http = http
 
     def read(self) -> InstanceSnapshot | None:
-        """Return the list, or None where it cannot be had."""
+        """Return a snapshot of the list, or None if it cannot be read within 2.0 s."""
         try:
             status, data, _ = self.http.fetch(
                 "GET", self.address, "/instances", timeout=2.0
--- a/src/ridgecourse/native/log.py
+++ b/src/ridgecourse/native/log.py
@@ -1,10 +1,10 @@
-"""Client of the platform's log service.
+"""HTTP client for the platform's log service.
 
-Its protocol: streams of records with consecutive offsets. ``POST
-/streams/NAME/records`` with a CBOR list of byte strings appends and answers
-``{"first": OFFSET}``; ``GET /streams/NAME/records?from=&wait_ms=&limit=`` reads
-and answers ``{"earliest", "next", "records"}``, or 410 with the same keys where
-the offset is past retention.
+The log consists of streams of records with consecutive offsets. ``POST
+/streams/NAME/records`` with a CBOR list of byte strings appends records and returns
+``{"first": OFFSET}``. ``GET /streams/NAME/records?from=&wait_ms=&limit=`` reads
+records and returns ``{"earliest", "next", "records"}``; the status is 410, with the
+same keys, if the requested offset has passed out of retention.
 """
 
 from enum import Enum
@@ -19,14 +19,15 @@
 from ridgecourse.wire.codec import decode_message
 
 MAX_BATCH_BYTES = 64 * 1024 * 1024
+"""Maximum length of a response body, in bytes."""
 READ_LIMIT = 500
-"""Records asked for at a time."""
+"""Default maximum number of records per read."""
 READ_GRACE_SECONDS = 1.5
-"""How much longer than asked a long poll may take before it counts as lost."""
+"""Time, in seconds, by which a long poll may exceed its wait before it times out."""
 
 
 class Stream(Enum):
-    """The system's streams in the log."""
+    """Streams of the log that the system uses."""
 
     CONFIG = "config"
     CHECKPOINTS = "checkpoints"
@@ -35,17 +36,27 @@
 
 
 class LogUnavailable(Exception):
-    """The log gave no usable answer; an append may have taken effect."""
+    """The log returned no valid response; an append may have taken effect."""
 
 
 class AppendReply(Struct, frozen=True):
-    """Answer to an append."""
+    """Response to an append.
+
+    Attributes:
+        first: Offset of the first appended record.
+    """
 
     first: int
 
 
 class ReadReply(Struct, frozen=True):
-    """Answer to a read."""
+    """Response to a read.
+
+    Attributes:
+        earliest: Oldest retained offset.
+        next: Offset that the next append will get.
+        records: Encoded records.
+    """
 
     earliest: int
     next: int
@@ -56,11 +67,11 @@
     """Records read from a stream.
 
     Attributes:
-        first: Offset of the first record.
-        records: Their bytes.
-        earliest: Oldest offset that the log still keeps.
+        first: Offset that was requested.
+        records: Encoded records, starting at that offset.
+        earliest: Oldest retained offset.
         next: Offset that the next append will get.
-        truncated: Whether the offset asked for is past retention.
+        truncated: Whether the requested offset has passed out of retention.
     """
 
     first: Offset
@@ -74,10 +85,11 @@
     """Appends to and reads from the log.
 
     Attributes:
-        address: HOST:PORT of the service.
-        seconds: Longest wait for an answer.
-        exchanges: Requests sent so far.
-        moved: Bytes of their bodies, both ways.
+        address: HOST:PORT of the log service.
+        http: HTTP client that carries the exchanges.
+        seconds: Timeout of an exchange.
+        exchanges: Number of completed exchanges.
+        bytes_transferred: Total length of the request and response bodies, in bytes.
     """
 
     def __init__(self, address: str, http: HttpClient, seconds: float = 2.0) -> None:
@@ -91,7 +103,8 @@
         """Append records and return the offset of the first one.
 
         Raises:
-            LogUnavailable: There was no answer; the records may be in the log.
+            LogUnavailable: There was no valid response; the records may have been
+                appended.
         """
         path = f"/streams/{stream.value}/records"
         data = self._exchange("POST", path, cbor2.dumps(records), self.seconds)[1]
@@ -107,16 +120,16 @@
         wait: float = 0.0,
         limit: int = READ_LIMIT,
     ) -> LogBatch:
-        """Return records from an offset on.
+        """Return the records of a stream from an offset onwards.
 
         Args:
-            stream: What to read.
-            start: First offset wanted.
-            wait: Longest time in seconds to wait for a record to come.
-            limit: Most records wanted.
+            stream: Stream to read.
+            start: Offset of the first record to return.
+            wait: Maximum time to wait for a record, in seconds.
+            limit: Maximum number of records.
 
         Raises:
-            LogUnavailable: There was no usable answer.
+            LogUnavailable: There was no valid response.
         """
         query = f"from={start}&wait_ms={int(wait * 1000)}&limit={limit}"
         path = f"/streams/{stream.value}/records?{query}"
@@ -135,10 +148,10 @@
         )
 
     def last(self, stream: Stream) -> bytes | None:
-        """Return a stream's newest record, None if it has none.
+        """Return the newest record of a stream, or None if the stream is empty.
 
         Raises:
-            LogUnavailable: There was no usable answer.
+            LogUnavailable: There was no valid response.
         """
         end = self.read(stream, 0, limit=1).next
         if end == 0:
--- a/src/ridgecourse/native/origin.py
+++ b/src/ridgecourse/native/origin.py
@@ -1,4 +1,8 @@
-"""Client of the origin of weights: files over HTTP, parts by Range."""
+"""HTTP client for the origin of weights.
+
+The origin serves each version's manifest and weight files. Chunks are read with
+Range requests.
+"""
 
 from contextlib import closing
 from urllib.parse import quote
@@ -20,48 +24,52 @@
 
 MANIFEST_NAME = "manifest.json"
 MAX_MANIFEST_BYTES = 64 * 1024 * 1024
+"""Maximum length of a manifest, in bytes."""
 
 
 class OriginClient:
-    """Fetches manifests and chunks.
+    """Fetches manifests and chunks from the origin.
 
     Attributes:
         address: HOST:PORT of the origin.
-        link: Limit of this instance's incoming link.
-        drawn: Bytes received from the origin so far.
+        http: HTTP client that carries the requests.
+        download_throttle: Rate limit of the instance's downloads.
+        fetched: Bytes received from the origin.
     """
 
-    def __init__(self, address: str, http: HttpClient, link: Throttle) -> None:
+    def __init__(
+        self, address: str, http: HttpClient, download_throttle: Throttle
+    ) -> None:
         self.address = address
         self.http = http
-        self.link = link
+        self.download_throttle = download_throttle
         self.drawn = 0
 
     def manifest(self, origin_path: str) -> bytes:
         """Return the bytes of a version's manifest.
 
         Raises:
-            OriginUnavailable: It cannot be had now.
+            OriginUnavailable: The manifest cannot be read.
         """
         return self._read(f"{origin_path}/{MANIFEST_NAME}", {}, MAX_MANIFEST_BYTES, 5.0)
 
     def chunk(self, origin_path: str, place: ChunkPlace, stall: float) -> bytes:
-        """Return a chunk's bytes, not yet verified.
+        """Return the unverified bytes of a chunk.
 
         Args:
-            origin_path: Path of the version.
-            place: Where the chunk stands.
-            stall: Longest wait for each piece, in seconds.
+            origin_path: Path of the version at the origin.
+            place: File, start offset and length of the chunk.
+            stall: Maximum wait for each block of data, in seconds.
 
         Raises:
-            OriginUnavailable: It cannot be had now.
+            OriginUnavailable: The chunk cannot be read.
         """
         end = place.start + place.length - 1
         headers = {"Range": f"bytes={place.start}-{end}"}
         return self._read(f"{origin_path}/{place.path}", headers, place.length, stall)
 
     def version(self, origin_path: str) -> "VersionOrigin":
-        """Return the origin of one version."""
+        """Return a ``ChunkOrigin`` for the version at a path."""
         return VersionOrigin(self, origin_path)
 
     def _read(
@@ -73,7 +81,9 @@
             )
             with closing(response):
                 _check_status(response.status, path)
-                data = b"".join(self.link.pace(read_pieces(response, limit)))
+                data = b"".join(
+                    self.download_throttle.pace(read_pieces(response, limit))
+                )
                 response.release_conn()
         except (NoConnection, ExchangeFailed) as error:
             raise OriginUnavailable(f"{path}: {error}") from error
@@ -82,7 +92,12 @@
 
 
 class VersionOrigin(ChunkOrigin):
-    """The origin of the version at one path."""
+    """Fetches the chunks of one version from the origin.
+
+    Attributes:
+        client: Client of the origin.
+        origin_path: Path of the version at the origin.
+    """
 
     def __init__(self, client: OriginClient, origin_path: str) -> None:
         self.client = client
@@ -90,11 +105,11 @@
 
     @property
     def drawn(self) -> int:  # type: ignore[override]
-        """Bytes received from the origin so far."""
+        """Bytes received from the origin, for all versions."""
         return self.client.drawn
 
     def chunk(self, place: ChunkPlace, stall: float) -> bytes:
-        """Return a chunk's bytes; see ``ChunkOrigin``."""
+        """Return the unverified bytes of a chunk; see ``ChunkOrigin``."""
         return self.client.chunk(self.origin_path, place, stall)
 
 
