--- a/src/ridgecourse/ctl/__init__.py
+++ b/src/ridgecourse/ctl/__init__.py
@@ -1,1 +1,1 @@
-"""The command line for operators."""
+"""Command-line tool for operators, ``ridgecourse-ctl``."""
--- a/src/ridgecourse/ctl/client.py
+++ b/src/ridgecourse/ctl/client.py
@@ -1,4 +1,4 @@
-"""The administration API as ``ridgecourse-ctl`` calls it."""
+"""Client of the administration API, which every entry serves over HTTP."""
 
 from typing import Any, TypeVar
 
@@ -12,23 +12,30 @@
 
 SERVICE_PATH = "/ridgecourse.wire.Admin/"
 CALL_GRACE_SECONDS = 5.0
+"""Time added to a call's deadline before the HTTP request times out."""
 ReplyT = TypeVar("ReplyT", bound=Message[Any])
 
 
 class CallFailure(Exception):
-    """A call that got no reply.
+    """A call that failed or received no reply.
 
     Attributes:
-        sent: Whether the entry may have received it.
+        maybe_executed: Whether the entry may have received and executed the call.
     """
 
-    def __init__(self, message: str, sent: bool) -> None:
+    def __init__(self, message: str, maybe_executed: bool) -> None:
         super().__init__(message)
-        self.sent = sent
+        self.maybe_executed = maybe_executed
 
 
 class AdminClient:
-    """Calls the administration API of one entry."""
+    """Calls the administration API of one entry.
+
+    Attributes:
+        address: HOST:PORT of the entry.
+        token: The operator's bearer token.
+        http: HTTP client that carries the calls.
+    """
 
     def __init__(self, address: str, token: str) -> None:
         self.address = address
@@ -42,13 +49,14 @@
         reply: type[ReplyT],
         seconds: float = 10.0,
     ) -> Result[ReplyT, CallFailure]:
-        """Make a call.
+        """Call a method and return its reply or the failure.
 
         Args:
-            method: Name in the schema.
-            request: Its argument.
-            reply: Its reply's type.
-            seconds: Longest wait for the reply.
+            method: Name of the method in the schema.
+            request: Request message.
+            reply: Type of the reply message.
+            seconds: Time allowed for the call; the HTTP request times out
+                ``CALL_GRACE_SECONDS`` later.
         """
         headers = {
             "Content-Type": "application/proto",
@@ -64,22 +72,24 @@
                 seconds + CALL_GRACE_SECONDS,
             )
         except NoConnection as error:
-            return Failure(CallFailure(f"no connection: {error}", sent=False))
+            return Failure(CallFailure(f"no connection: {error}", maybe_executed=False))
         except ExchangeFailed as error:
-            return Failure(CallFailure(f"no reply: {error}", sent=True))
+            return Failure(CallFailure(f"no reply: {error}", maybe_executed=True))
         if status != 200:
-            return Failure(CallFailure(describe_error(status, data), sent=False))
+            return Failure(
+                CallFailure(describe_error(status, data), maybe_executed=False)
+            )
         return Success(reply.from_binary(data))
 
     def change(
         self, method: str, request: Message[Any], seconds: float
     ) -> Result[pb.ChangeReply, CallFailure]:
-        """Make a call that changes the configuration."""
+        """Call a method that changes the configuration."""
         return self.call(method, request, pb.ChangeReply, seconds)
 
 
 def describe_error(status: int, data: bytes) -> str:
-    """Return an error reply as text."""
+    """Return the code and message of an error reply, or else the HTTP status."""
     try:
         fields = decode(data)
         return f"{fields['code']}: {fields.get('message', '')}"
--- a/src/ridgecourse/ctl/main.py
+++ b/src/ridgecourse/ctl/main.py
@@ -1,4 +1,4 @@
-"""Command ``ridgecourse-ctl``."""
+"""Entry point of ``ridgecourse-ctl``, the command-line tool for operators."""
 
 import sys
 
@@ -11,14 +11,14 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run one verb; return the exit code."""
+    """Execute one verb and return the exit code."""
     parser = make_parser()
     parsed = parser.parse_args(arguments)
     output = Output(parsed.json)
     try:
         address = str(parse_address(parsed.entry))
     except ValueError as error:
-        output.error(f"--entry: {error}", "give the address of an entry")
+        output.error(f"--entry: {error}", "pass the address of an entry as HOST:PORT")
         return EXIT_USAGE
     if parsed.check:
         return EXIT_OK
--- a/src/ridgecourse/ctl/output.py
+++ b/src/ridgecourse/ctl/output.py
@@ -1,4 +1,4 @@
-"""What ``ridgecourse-ctl`` prints, for people or as JSON."""
+"""Output of ``ridgecourse-ctl``, as text and tables or as JSON."""
 
 import sys
 from collections.abc import Callable, Iterator
@@ -15,34 +15,37 @@
 
 from ridgecourse.wire import admin_pb as pb
 
-DIGEST_SHOWN = 12
+DIGEST_DISPLAY_LENGTH = 12
+"""Number of hexadecimal digits shown of a digest."""
 
 
 class Output:
     """Prints results to standard output and errors to standard error.
 
     Attributes:
-        as_json: Print one JSON object a result, and nothing else.
+        as_json: Whether to print one JSON object per result and nothing else.
+        console: Console for results.
+        error_console: Console for errors and progress.
     """
 
     def __init__(self, as_json: bool) -> None:
         self.as_json = as_json
         self.console = Console(file=sys.stdout, soft_wrap=True, highlight=False)
-        self.errors = Console(file=sys.stderr, soft_wrap=True, highlight=False)
+        self.error_console = Console(file=sys.stderr, soft_wrap=True, highlight=False)
 
-    def _json(self, message: Message[Any]) -> None:
+    def _print_json(self, message: Message[Any]) -> None:
         sys.stdout.write(message.to_json() + "\n")
         sys.stdout.flush()
 
     def error(self, message: str, hint: str) -> None:
-        """Print an error and what to do next."""
-        self.errors.print(f"error: {message}", style="red", markup=False)
-        self.errors.print(f"  {hint}", markup=False)
+        """Print an error and a hint on what to do next."""
+        self.error_console.print(f"error: {message}", style="red", markup=False)
+        self.error_console.print(f"  {hint}", markup=False)
 
     def change(self, reply: pb.ChangeReply) -> None:
-        """Print the fate of a change."""
+        """Print the outcome of a change."""
         if self.as_json:
-            self._json(reply)
+            self._print_json(reply)
             return
         text = f"{reply.status.name.lower()}: change {reply.change_id}"
         if reply.status is pb.ChangeStatus.ACCEPTED:
@@ -51,43 +54,45 @@
             text += f" ({reply.reason})"
         self.console.print(text, markup=False)
         if reply.status is pb.ChangeStatus.UNKNOWN:
-            hint = f"  ask later with: change show {reply.change_id}"
+            hint = f"  query the outcome later with: change show {reply.change_id}"
             self.console.print(hint, markup=False)
 
     def configuration(self, reply: pb.ShowReply) -> None:
         """Print a fleet's configuration."""
         if self.as_json:
-            self._json(reply)
+            self._print_json(reply)
             return
-        digest = reply.digest[:DIGEST_SHOWN]
+        digest = reply.digest[:DIGEST_DISPLAY_LENGTH]
         table = Table("kind", "name", "revision", "fields")
         table.title = f"offset {reply.offset}, digest {digest}"
-        for found in reply.objects:
-            fields = loads(found.fields_json)
+        for item in reply.objects:
+            fields = loads(item.fields_json)
             text = ", ".join(f"{name}={value}" for name, value in fields.items())
-            table.add_row(found.kind, found.name, str(found.revision), text)
+            table.add_row(item.kind, item.name, str(item.revision), text)
         self.console.print(table)
 
     def rollout(self, reply: pb.ShowRolloutReply) -> None:
-        """Print the progress of each target."""
+        """Print a table of the progress of each target."""
         if self.as_json:
-            self._json(reply)
+            self._print_json(reply)
             return
         self.console.print(rollout_table(reply))
 
     @contextmanager
     def progress(self, text: str, total: int) -> Iterator[Callable[[int], None]]:
-        """Show a bar; yields what is to be told of each step."""
+        """Show a progress bar and yield a function that advances it by a byte count."""
         columns = (TextColumn("{task.description}"), BarColumn(), DownloadColumn())
-        with Progress(*columns, console=self.errors, disable=self.as_json) as bar:
+        with Progress(
+            *columns, console=self.error_console, disable=self.as_json
+        ) as bar:
             task = bar.add_task(text, total=total)
             yield lambda size: bar.advance(task, size)
 
     @contextmanager
     def watch(self) -> Iterator[Callable[[pb.ShowRolloutReply], None]]:
-        """Show progress again and again; yields what shows it."""
+        """Yield a function that displays a rollout's progress in place."""
         if self.as_json:
-            yield self._json
+            yield self._print_json
             return
         with Live(console=self.console) as live:
             yield lambda reply: live.update(rollout_table(reply))
@@ -96,7 +101,9 @@
 def rollout_table(reply: pb.ShowRolloutReply) -> Table:
     """Return the progress of each target as a table."""
     table = Table("target", "domain", "phase", "held", "ready", "in flight", "error")
-    table.title = f"{reply.model} {reply.version} {reply.root_digest[:DIGEST_SHOWN]}"
+    table.title = (
+        f"{reply.model} {reply.version} {reply.root_digest[:DIGEST_DISPLAY_LENGTH]}"
+    )
     for target in reply.targets:
         state = "leaving" if target.leaving else ("yes" if target.ready else "no")
         table.add_row(
--- a/src/ridgecourse/ctl/publish.py
+++ b/src/ridgecourse/ctl/publish.py
@@ -1,4 +1,4 @@
-"""Makes the manifest of a version from a directory of weight files."""
+"""Builds the manifest of a version from a directory of weight files."""
 
 from collections.abc import Callable, Iterator
 from pathlib import Path
@@ -18,21 +18,22 @@
 MANIFEST_NAME = "manifest.json"
 DEFAULT_CHUNK_BYTES = 1024 * 1024
 
-Progress = Callable[[int], None]
+ProgressCallback = Callable[[int], None]
+"""Called with the length of each chunk that was read, in bytes."""
 
 
 def make_manifest(
-    directory: Path, chunk_bytes: int, progress: Progress
+    directory: Path, chunk_bytes: int, progress: ProgressCallback
 ) -> Result[Manifest, Findings]:
     """Read all files of a version and return its manifest.
 
     Args:
-        directory: The version's files.
-        chunk_bytes: Length of every chunk but a file's last.
-        progress: Told the length of each chunk read.
+        directory: Directory of the version's files.
+        chunk_bytes: Length of every chunk except the last chunk of a file.
+        progress: Called with the length of each chunk that was read.
 
     Returns:
-        The manifest, or what is wrong with the directory.
+        The manifest, or the problems found in the directory.
     """
     if not directory.is_dir():
         return Failure((Finding(str(directory), "is no directory"),))
@@ -45,28 +46,30 @@
 
 
 def is_weight_file(path: Path) -> bool:
-    """Tell whether a file is part of a version."""
+    """Check whether a path is a weight file, as opposed to a directory or manifest."""
     return path.is_file() and path.name != MANIFEST_NAME
 
 
 def total_bytes(directory: Path) -> int:
-    """Return the length of a version's files together."""
-    return sum(p.stat().st_size for p in directory.rglob("*") if is_weight_file(p))
+    """Return the total length of a version's files."""
+    return sum(
+        path.stat().st_size for path in directory.rglob("*") if is_weight_file(path)
+    )
 
 
 def make_entry(
-    directory: Path, path: Path, chunk_bytes: int, progress: Progress
+    directory: Path, path: Path, chunk_bytes: int, progress: ProgressCallback
 ) -> FileEntry:
-    """Return the manifest's entry for a file."""
+    """Return the manifest entry of a file."""
     digests = tuple(read_digests(path, chunk_bytes, progress))
     relative = path.relative_to(directory).as_posix()
     return FileEntry(relative, path.stat().st_size, digests)
 
 
 def read_digests(
-    path: Path, chunk_bytes: int, progress: Progress
+    path: Path, chunk_bytes: int, progress: ProgressCallback
 ) -> Iterator[ChunkDigest]:
-    """Yield the digests of a file's chunks."""
+    """Yield the digest of each chunk of a file, in order."""
     with path.open("rb") as file:
         while data := file.read(chunk_bytes):
             progress(len(data))
@@ -74,7 +77,7 @@
 
 
 def write_manifest(directory: Path, manifest: Manifest) -> bytes:
-    """Write a manifest beside the files and return its bytes."""
+    """Write a manifest to the version's directory and return its bytes."""
     data = encode_manifest(manifest)
     (directory / MANIFEST_NAME).write_bytes(data)
     return data
--- a/src/ridgecourse/timeline/__init__.py
+++ b/src/ridgecourse/timeline/__init__.py
@@ -1,1 +1,1 @@
-"""The merged time line of all processes."""
+"""Timeline tool, which merges the event streams of all processes."""
--- a/src/ridgecourse/timeline/main.py
+++ b/src/ridgecourse/timeline/main.py
@@ -1,4 +1,8 @@
-"""Command ``ridgecourse-timeline``."""
+"""Entry point of ``ridgecourse-timeline``.
+
+The command merges event streams, filters the events, and prints them as text or
+writes them to an HTML page.
+"""
 
 import sys
 from argparse import ArgumentParser
@@ -8,31 +12,47 @@
 
 from ridgecourse import __version__
 from ridgecourse.net.exit_code import EXIT_OK, EXIT_USAGE
-from ridgecourse.timeline.merge import Filter, merge_streams, select
+from ridgecourse.timeline.merge import EventFilter, filter_events, merge_streams
 from ridgecourse.timeline.render import html_page, print_text
 
 
 def make_parser() -> ArgumentParser:
-    """Return the parser of the arguments."""
+    """Return the argument parser."""
     parser = ArgumentParser(
         prog="ridgecourse-timeline",
-        description="Merge the event streams of processes into one time line.",
+        description="Merge the event streams of several processes into one timeline.",
+    )
+    parser.add_argument(
+        "streams", nargs="+", type=Path, help="event files, one JSON event per line"
     )
-    parser.add_argument("streams", nargs="+", type=Path, help="files of events")
     parser.add_argument("--version", action="version", version=__version__)
-    parser.add_argument("--check", action="store_true", help="only read the streams")
-    parser.add_argument("--html", type=Path, help="write one HTML page there")
-    parser.add_argument("--request", default="", help="only this request")
-    parser.add_argument("--change", default="", help="only this change")
-    parser.add_argument("--target", default="", help="only this target")
-    parser.add_argument("--root", default="", help="only this version's digest")
-    parser.add_argument("--kind", default="", help="only events of this kind")
-    parser.add_argument("--process", default="", help="only this process")
+    parser.add_argument(
+        "--check",
+        action="store_true",
+        help="read and check the streams, print no events",
+    )
+    parser.add_argument(
+        "--html", type=Path, help="write an HTML page to this file instead of text"
+    )
+    parser.add_argument(
+        "--request", default="", help="show only events of this request"
+    )
+    parser.add_argument("--change", default="", help="show only events of this change")
+    parser.add_argument("--target", default="", help="show only events of this target")
+    parser.add_argument(
+        "--root",
+        default="",
+        help="show only events of the version with this root digest or prefix",
+    )
+    parser.add_argument("--kind", default="", help="show only events of this kind")
+    parser.add_argument(
+        "--process", default="", help="show only events of this process"
+    )
     return parser
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Draw a time line; return the exit code."""
+    """Print or write a timeline and return the exit code."""
     parsed = make_parser().parse_args(arguments)
     missing = [path for path in parsed.streams if not path.is_file()]
     for path in missing:
@@ -41,10 +61,12 @@
         return EXIT_USAGE
     merged = merge_streams(parsed.streams)
     if merged.skipped:
-        print(f"{merged.skipped} lines are no events", file=sys.stderr)
+        print(
+            f"skipped {merged.skipped} lines that are not valid events", file=sys.stderr
+        )
     if parsed.check:
         return EXIT_OK
-    wanted = Filter(
+    event_filter = EventFilter(
         parsed.request,
         parsed.change,
         parsed.target,
@@ -52,7 +74,7 @@
         parsed.kind,
         parsed.process,
     )
-    events = list(select(merged.events, wanted))
+    events = list(filter_events(merged.events, event_filter))
     if parsed.html is not None:
         parsed.html.write_text(html_page(events), encoding="utf-8")
     else:
--- a/src/ridgecourse/timeline/merge.py
+++ b/src/ridgecourse/timeline/merge.py
@@ -1,4 +1,7 @@
-"""Merges the event streams of all processes into causal order."""
+"""Merges the event streams of several processes into causal order.
+
+Also filters events by the identifiers that they carry.
+"""
 
 from collections.abc import Iterable, Iterator
 from pathlib import Path
@@ -10,8 +13,17 @@
 from ridgecourse.net.events import Event
 
 
-class Filter(NamedTuple):
-    """Which events are wanted; empty values match all."""
+class EventFilter(NamedTuple):
+    """Criteria that an event must meet; an empty criterion matches every event.
+
+    Attributes:
+        request: Identifier of the request.
+        change: Identifier of the change.
+        target: Name of the target.
+        version: Prefix of the version's root digest.
+        kind: Kind of the event.
+        process: Name of the process that emitted the event.
+    """
 
     request: str = ""
     change: str = ""
@@ -21,7 +33,7 @@
     process: str = ""
 
     def matches(self, event: Event) -> bool:
-        """Tell whether an event is wanted."""
+        """Check whether an event meets all criteria."""
         return (
             self.request in ("", event.request)
             and self.change in ("", event.change)
@@ -32,23 +44,23 @@
         )
 
 
-class Merged(NamedTuple):
-    """Events in causal order, and lines that are none.
+class MergedEvents(NamedTuple):
+    """Result of merging event streams.
 
     Attributes:
-        events: In an order in which no event stands before one it follows from.
-        skipped: Lines that could not be read.
+        events: Events in causal order: each event follows all events that caused it.
+        skipped: Number of lines that are not valid events.
     """
 
     events: list[Event]
     skipped: int
 
 
-def merge_streams(paths: Iterable[Path]) -> Merged:
+def merge_streams(paths: Iterable[Path]) -> MergedEvents:
     """Read event streams and return their events in causal order.
 
-    The Lamport clock orders what is causally related; of what is not, the time
-    of day decides, then process and position.
+    Lamport clocks order causally related events. Events with equal clocks are
+    ordered by wall-clock time, then by process, incarnation and sequence number.
     """
     events: list[Event] = []
     skipped = 0
@@ -59,18 +71,28 @@
                 skipped += 1
             else:
                 events.append(event)
-    events.sort(key=lambda e: (e.clock, e.wall, e.process, e.incarnation, e.seq))
-    return Merged(events, skipped)
+    events.sort(
+        key=lambda event: (
+            event.clock,
+            event.wall,
+            event.process,
+            event.incarnation,
+            event.seq,
+        )
+    )
+    return MergedEvents(events, skipped)
 
 
 def parse_event(line: bytes) -> Event | None:
-    """Return the event of a line, None if it is none."""
+    """Return the event encoded in a line, or None if the line is invalid."""
     try:
         return decode(line, type=Event)
     except DecodeError:
         return None
 
 
-def select(events: Iterable[Event], wanted: Filter) -> Iterator[Event]:
-    """Yield the events that a filter matches."""
-    return (event for event in events if wanted.matches(event))
+def filter_events(
+    events: Iterable[Event], event_filter: EventFilter
+) -> Iterator[Event]:
+    """Return an iterator over the events that a filter matches."""
+    return (event for event in events if event_filter.matches(event))
--- a/src/ridgecourse/timeline/render.py
+++ b/src/ridgecourse/timeline/render.py
@@ -1,4 +1,4 @@
-"""Draws a time line as text or as one HTML page."""
+"""Renders a timeline as text or as a self-contained HTML page."""
 
 from collections.abc import Iterable, Iterator, Sequence
 from html import escape
@@ -10,13 +10,13 @@
 from ridgecourse.core.ids import ProcessName
 from ridgecourse.net.events import Event, EventKind
 
-GOOD = {
+SUCCESS_KINDS = {
     EventKind.READY,
     EventKind.VERSION_SERVING,
     EventKind.LOG_BACK,
     EventKind.VERSION_COMPLETE,
 }
-BAD = {
+FAILURE_KINDS = {
     EventKind.LOG_LOST,
     EventKind.ROLLOUT_FAILED,
     EventKind.CHUNK_REJECTED,
@@ -24,7 +24,8 @@
     EventKind.BAD_INPUT,
     EventKind.TARGET_EJECTED,
 }
-ID_SHOWN = 12
+ID_DISPLAY_LENGTH = 12
+"""Number of characters shown of an identifier."""
 
 STYLE = """
 :root { color-scheme: light dark; --line: #8886; --good: #1a7f37; --bad: #c62828; }
@@ -58,39 +59,46 @@
 """
 
 
-def subject(event: Event) -> str:
-    """Return what an event is about."""
-    named = (
+def format_subject(event: Event) -> str:
+    """Return the subject identifiers and offset of an event as text."""
+    labelled_ids = (
         ("request", event.request),
         ("change", event.change),
         ("target", event.target),
         ("version", event.version),
     )
-    parts = [f"{name}={value[:ID_SHOWN]}" for name, value in named if value]
+    parts = [
+        f"{name}={value[:ID_DISPLAY_LENGTH]}" for name, value in labelled_ids if value
+    ]
     if event.offset >= 0:
         parts.append(f"offset={event.offset}")
     return " ".join(parts)
 
 
-def details(event: Event) -> str:
-    """Return an event's further values."""
-    return " ".join(f"{name}={show(value)}" for name, value in event.detail.items())
+def format_details(event: Event) -> str:
+    """Return the detail fields of an event as text."""
+    return " ".join(
+        f"{name}={format_value(value)}" for name, value in event.detail.items()
+    )
 
 
-def show(value: Any) -> str:
-    """Return a value as text."""
+def format_value(value: Any) -> str:
+    """Return a value as text; "-" for an empty or missing value."""
     return "-" if value in ("", None) else str(value)
 
 
-def mood(kind: EventKind) -> str:
-    """Return the class of a kind: good, bad or neither."""
-    if kind in GOOD:
+def outcome_class(kind: EventKind) -> str:
+    """Return the CSS class of an event kind: "good", "bad" or an empty string."""
+    if kind in SUCCESS_KINDS:
         return "good"
-    return "bad" if kind in BAD else ""
+    return "bad" if kind in FAILURE_KINDS else ""
 
 
 def print_text(events: Iterable[Event], console: Console) -> None:
-    """Print events as text, coloured on a terminal."""
+    """Print events as text, in colour on a terminal.
+
+    Times are in seconds since the first event.
+    """
     start: float | None = None
     for event in events:
         start = event.wall if start is None else start
@@ -98,28 +106,31 @@
 
 
 def text_line(event: Event, start: float) -> Text:
-    """Return one event as a line."""
-    style = {"good": "green", "bad": "red", "": "cyan"}[mood(event.kind)]
+    """Return an event as a line of text; ``start`` is the time of the first event."""
+    style = {"good": "green", "bad": "red", "": "cyan"}[outcome_class(event.kind)]
     line = Text(f"{event.wall - start:+10.3f} {event.clock:7} ")
     line.append(f"{event.process:24} ", style="bold")
     line.append(f"{event.kind.value:20} ", style=style)
-    line.append(f"{subject(event)} {details(event)}".strip())
+    line.append(f"{format_subject(event)} {format_details(event)}".strip())
     return line
 
 
 def html_page(events: Sequence[Event]) -> str:
-    """Return events as one page that needs no other file."""
+    """Return events as an HTML page without external resources."""
     processes = sorted({event.process for event in events})
-    hues = {name: 360 * i // max(1, len(processes)) for i, name in enumerate(processes)}
+    process_hues = {
+        name: 360 * index // max(1, len(processes))
+        for index, name in enumerate(processes)
+    }
     start = events[0].wall if events else 0.0
-    rows = "\n".join(html_rows(events, hues, start))
+    rows = "\n".join(html_rows(events, process_hues, start))
     summary = f"{len(events)} events of {len(processes)} processes, in causal order"
     return (
         "<!doctype html>\n<html lang=en><meta charset=utf-8>"
         "<meta name=viewport content='width=device-width'>"
-        f"<title>ridgecourse time line</title><style>{STYLE}</style>\n"
-        f"<h1>Time line</h1><p>{summary}</p>\n"
-        "<input id=filter placeholder='filter: words that a row must have' "
+        f"<title>ridgecourse timeline</title><style>{STYLE}</style>\n"
+        f"<h1>Timeline</h1><p>{summary}</p>\n"
+        "<input id=filter placeholder='filter: words that a row must contain' "
         "aria-label=filter>\n<div class=scroll><table><thead><tr><th>seconds"
         "<th>clock<th>process<th>domain<th>event<th>about<th>detail</thead>\n"
         f"<tbody>\n{rows}\n</tbody></table></div><script>{SCRIPT}</script></html>\n"
@@ -127,17 +138,17 @@
 
 
 def html_rows(
-    events: Iterable[Event], hues: dict[ProcessName, int], start: float
+    events: Iterable[Event], process_hues: dict[ProcessName, int], start: float
 ) -> Iterator[str]:
-    """Yield a table row for each event."""
+    """Yield an HTML table row for each event."""
     for event in events:
-        colour = f"hsl({hues[event.process]} 60% 50%)"
+        colour = f"hsl({process_hues[event.process]} 60% 50%)"
         yield (
             f"<tr><td class=time>{event.wall - start:+.3f}"
             f"<td class=clock>{event.clock}"
             f"<td><span class=lane style='border-color:{colour}'>"
             f"{escape(event.process)}</span><td>{escape(event.domain)}"
-            f"<td class='{mood(event.kind)}'>{event.kind.value}"
-            f"<td class=about>{escape(subject(event))}"
-            f"<td class=detail>{escape(details(event))}"
+            f"<td class='{outcome_class(event.kind)}'>{event.kind.value}"
+            f"<td class=about>{escape(format_subject(event))}"
+            f"<td class=detail>{escape(format_details(event))}"
         )
