--- a/src/bench/__init__.py
+++ b/src/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: each command prints one JSON line."""
+"""Benchmarks; each command prints its results as JSON, one object per line."""
--- a/src/bench/__main__.py
+++ b/src/bench/__main__.py
@@ -1,9 +1,9 @@
-"""Command ``python -m bench NAME``: runs one benchmark."""
+"""Entry point of ``python -m bench NAME``, which runs one benchmark."""
 
 import sys
 from importlib import import_module
 
-NAMES = (
+BENCHMARK_NAMES = (
     "rollout",
     "config",
     "control",
@@ -17,9 +17,12 @@
 
 
 def main() -> int:
-    """Run the benchmark that the first argument names."""
-    if len(sys.argv) < 2 or sys.argv[1] not in NAMES:
-        print(f"usage: python -m bench {{{','.join(NAMES)}}} ...", file=sys.stderr)
+    """Run the benchmark named by the first argument and return the exit code."""
+    if len(sys.argv) < 2 or sys.argv[1] not in BENCHMARK_NAMES:
+        print(
+            f"usage: python -m bench {{{','.join(BENCHMARK_NAMES)}}} ...",
+            file=sys.stderr,
+        )
         return 2
     module = import_module(f"bench.{sys.argv[1]}")
     return module.main(sys.argv[2:])
--- a/src/bench/baseline_agent.py
+++ b/src/bench/baseline_agent.py
@@ -1,4 +1,8 @@
-"""An agent as a baseline: first in first out, without looking at deadlines."""
+"""Baseline agent: admits requests first in, first out, and ignores deadlines.
+
+Replaces the methods of ``AdmissionQueue`` to compare admission control with a plain
+queue.
+"""
 
 import ridgecourse.net.patch  # noqa: F401, I001
 
@@ -13,27 +17,27 @@
 _queues: dict[int, deque[Ticket]] = {}
 
 
-def queue_of(queue: AdmissionQueue) -> deque[Ticket]:
-    """Return the one queue of all accounts."""
+def shared_queue(queue: AdmissionQueue) -> deque[Ticket]:
+    """Return the queue that all accounts share."""
     return _queues.setdefault(id(queue), deque())
 
 
 def offer(self: AdmissionQueue, ticket: Ticket, now: Seconds) -> float | None:
-    """Queue everything."""
-    queue_of(self).append(ticket)
+    """Queue every request and refuse none."""
+    shared_queue(self).append(ticket)
     return None
 
 
 def admit(self: AdmissionQueue, now: Seconds) -> Iterator[Ticket]:
-    """Yield tickets in the order in which they came."""
-    waiting = queue_of(self)
+    """Yield tickets in order of arrival while slots are free."""
+    waiting = shared_queue(self)
     while waiting and self.running < self.slots:
         self.running += 1
         yield waiting.popleft()
 
 
 def expire(self: AdmissionQueue, now: Seconds) -> Iterator[Ticket]:
-    """Let nothing expire."""
+    """Return no tickets, since no ticket expires."""
     return iter(())
 
 
--- a/src/bench/baseline_entry.py
+++ b/src/bench/baseline_entry.py
@@ -1,4 +1,8 @@
-"""An entry as a baseline: targets chosen at random, retries without a budget."""
+"""Baseline entry: chooses targets at random and retries without a budget.
+
+Replaces methods of ``Router`` and ``RetryBudget`` to compare the router with random
+choice.
+"""
 
 import ridgecourse.net.patch  # noqa: F401, I001
 
@@ -14,7 +18,7 @@
 def choose_at_random(
     self: Router, loads: Sequence[TargetLoad], prefix: str, now: Seconds
 ) -> TargetLoad:
-    """Return any target."""
+    """Return a target chosen uniformly at random."""
     return self.random.choice(loads)
 
 
--- a/src/bench/config.py
+++ b/src/bench/config.py
@@ -1,4 +1,4 @@
-"""Measures how long an accepted change takes to be in force at every process."""
+"""Measures how long an accepted change takes to be applied by every process."""
 
 from argparse import ArgumentParser
 from shutil import rmtree
@@ -8,14 +8,14 @@
 from bench.result import print_result, quantile
 from ridgecourse_standins.cluster import FLEET, MODEL_SERVICE, Cluster, Plan
 
-CHANGES = 40
+CHANGE_COUNT = 40
 SETTLE_SECONDS = 3.0
 
 
-def make_changes(cluster: Cluster) -> list[tuple[int, float]]:
-    """Make changes; return each one's offset and when it was accepted."""
+def submit_changes(cluster: Cluster) -> list[tuple[int, float]]:
+    """Submit changes; return the offset and time of acceptance of each change."""
     accepted = []
-    for weight in range(1, CHANGES + 1):
+    for weight in range(1, CHANGE_COUNT + 1):
         reply = cluster.admin(
             "SetTraffic",
             weight % len(cluster.entries),
@@ -28,27 +28,33 @@
     return accepted
 
 
-def spread(cluster: Cluster, accepted: list[tuple[int, float]]) -> list[float]:
-    """Return each change's seconds from acceptance to the last process."""
-    folds = []
+def propagation_times(
+    cluster: Cluster, accepted: list[tuple[int, float]]
+) -> list[float]:
+    """Return, for each change, the seconds until all processes applied it."""
+    events_by_process = []
     for node in [*cluster.entries, *cluster.agents]:
         events = [
             (event["offset"] + (event["kind"] == "change-decided"), event["mono"])
             for event in node.managed.events()
             if event["kind"] in ("change-decided", "config-folded")
         ]
-        folds.append(events)
+        events_by_process.append(events)
     return [
-        max(min(m for o, m in events if o > offset) for events in folds) - at
-        for offset, at in accepted
+        max(
+            min(time for end, time in events if end > offset)
+            for events in events_by_process
+        )
+        - accepted_at
+        for offset, accepted_at in accepted
     ]
 
 
 def main(argv: list[str]) -> int:
-    """Run the benchmark."""
+    """Run the benchmark and return the exit code."""
     parser = ArgumentParser(prog="python -m bench config", description=__doc__)
-    parser.add_argument("--entries", type=int, default=1, help="in each domain")
-    parser.add_argument("--targets", type=int, default=1, help="in each domain")
+    parser.add_argument("--entries", type=int, default=1, help="entries in each domain")
+    parser.add_argument("--targets", type=int, default=1, help="targets in each domain")
     arguments = parser.parse_args(argv)
     plan = Plan(
         domains=("domain0", "domain1", "domain2"),
@@ -62,27 +68,27 @@
         with cluster:
             cluster.set_up()
             sleep(SETTLE_SECONDS)
-            times = spread(cluster, settle(cluster))
-            print_result(figures(cluster, times))
+            times = propagation_times(cluster, apply_changes(cluster))
+            print_result(summarize(cluster, times))
     finally:
         rmtree(cluster.directory, ignore_errors=True)
     return 0
 
 
-def settle(cluster: Cluster) -> list[tuple[int, float]]:
-    """Make the changes and wait until the last is in force."""
-    accepted = make_changes(cluster)
-    last = accepted[-1][0] + 1
+def apply_changes(cluster: Cluster) -> list[tuple[int, float]]:
+    """Submit the changes and wait until every process has applied them."""
+    accepted = submit_changes(cluster)
+    end_offset = accepted[-1][0] + 1
     for node in [*cluster.entries, *cluster.agents]:
         cluster.wait(
-            f"{node.managed.name} is at {last}",
-            lambda node=node: cluster.status(node)["offset"] >= last,  # type: ignore[misc]
+            f"{node.managed.name} has reached offset {end_offset}",
+            lambda node=node: cluster.status(node)["offset"] >= end_offset,  # type: ignore[misc]
         )
     return accepted
 
 
-def figures(cluster: Cluster, times: list[float]) -> dict[str, Any]:
-    """Return the figures of the run."""
+def summarize(cluster: Cluster, times: list[float]) -> dict[str, Any]:
+    """Return the results of the run; times are in seconds."""
     return {
         "processes": len(cluster.entries) + len(cluster.agents),
         "changes": len(times),
--- a/src/bench/engine_passes.py
+++ b/src/bench/engine_passes.py
@@ -1,7 +1,9 @@
-"""A model of an engine: batches, passes, prompts read between the tokens of others.
+"""Simulation of an engine with continuous batching.
 
-Written from the description of the engines' work in docs/ENGINE.md; time is
-virtual, so that minutes of traffic take a second.
+The engine works in passes. A pass reads the prompts of newly started requests
+(prefill) and generates tokens for the other requests of the batch (decoding). The
+simulation follows the description of engines in docs/ENGINE.md. Time is virtual, so
+that minutes of traffic are simulated in a second.
 """
 
 from dataclasses import dataclass, field
@@ -9,91 +11,105 @@
 from ridgecourse.core.engine_load import prompt_seconds
 from ridgecourse.core.routes import EngineModel
 
-STRIDE = 5
-"""Tokens of each answer in a pass."""
+TOKENS_PER_PASS = 5
+"""Tokens that a pass generates for each answer."""
 
 
 @dataclass
 class SimulatedRequest:
-    """A request on its way.
+    """A simulated request; all times are in seconds of virtual time.
 
     Attributes:
-        arrived: When its caller sent it, in seconds.
-        prompt: Tokens of its prompt.
-        answer: Tokens of its answer that are still to come.
-        objective: Seconds to its first event.
-        patience: Seconds that its caller waits in all.
-        sent: When it was sent to an engine.
-        expected: Estimated seconds from then to the first event.
-        refusals: Times that it was refused.
-        first_event: When its first event came; None before.
+        arrived_at: Time at which the client first sent the request.
+        prompt_tokens: Number of tokens of the prompt.
+        remaining_tokens: Number of tokens of the answer not yet generated.
+        objective: Latency objective for the first event.
+        client_timeout: Total time that the client waits for an answer.
+        dispatched_at: Time at which a gateway sent the request to an engine.
+        expected_delay: Estimated time from dispatch to the first event.
+        refusal_count: Number of times that gateways refused the request.
+        first_event: Time of the first event; None before the first event.
     """
 
     arrived: float
-    prompt: int
-    answer: int
+    prompt_tokens: int
+    remaining_tokens: int
     objective: float
-    patience: float
-    sent: float = 0.0
-    expected: float = 0.0
-    refusals: int = 0
+    client_timeout: float
+    dispatched_at: float = 0.0
+    expected_delay: float = 0.0
+    refusal_count: int = 0
     first_event: float | None = None
 
 
 @dataclass
 class PassEngine:
-    """One engine.
+    """Simulated engine; all times are in seconds of virtual time.
 
     Attributes:
-        model: Its figures.
-        open_at: When it begins to take requests.
+        model: Performance parameters of the engine.
+        available_at: Time from which the engine accepts requests.
         queue: Requests that wait for a slot.
-        unread: Requests in a slot whose prompt has not been read.
-        writing: Requests whose answer is being written.
-        begun: Requests whose first event came with the newest pass.
-        pass_end: When the pass in progress ends; None while it is idle.
+        prefilling: Requests in a slot whose prompt has not been read.
+        decoding: Requests whose answer is being generated.
+        just_started: Requests whose first event came with the most recent pass.
+        pass_end: End of the pass in progress; None while the engine is idle.
     """
 
     model: EngineModel
-    open_at: float = 0.0
+    available_at: float = 0.0
     queue: list[SimulatedRequest] = field(default_factory=list)
-    unread: list[SimulatedRequest] = field(default_factory=list)
-    writing: list[SimulatedRequest] = field(default_factory=list)
-    begun: list[SimulatedRequest] = field(default_factory=list)
+    prefilling: list[SimulatedRequest] = field(default_factory=list)
+    decoding: list[SimulatedRequest] = field(default_factory=list)
+    just_started: list[SimulatedRequest] = field(default_factory=list)
     pass_end: float | None = None
 
     @property
     def active(self) -> int:
-        """Requests in a slot."""
-        return len(self.unread) + len(self.writing)
+        """Number of requests in a slot."""
+        return len(self.prefilling) + len(self.decoding)
 
-    def take(self, request: SimulatedRequest, now: float) -> None:
-        """Take a request in."""
+    def enqueue(self, request: SimulatedRequest, now: float) -> None:
+        """Append a request to the queue and start a pass if the engine is idle."""
         self.queue.append(request)
         if self.pass_end is None:
-            self._begin_pass(now)
+            self._start_pass(now)
 
-    def end_pass(self, now: float) -> None:
-        """Write what the pass brought, and begin the next one."""
-        for request in self.unread[: self.reading]:
+    def finish_pass(self, now: float) -> None:
+        """Apply the results of the pass that ends and start the next pass."""
+        for request in self.prefilling[: self.prefill_count]:
             request.first_event = now
-        self.begun = self.unread[: self.reading]
-        read, self.unread = self.unread[: self.reading], self.unread[self.reading :]
-        for request in self.writing:
-            request.answer -= STRIDE
-        self.writing = [r for r in self.writing if r.answer > 0] + read
-        self._begin_pass(now)
-
-    def _begin_pass(self, now: float) -> None:
-        room = self.model.slots - self.active
-        self.unread += self.queue[:room]
-        self.queue = self.queue[room:]
-        self.reading = len(self.unread)
+        self.just_started = self.prefilling[: self.prefill_count]
+        prefilled, self.prefilling = (
+            self.prefilling[: self.prefill_count],
+            self.prefilling[self.prefill_count :],
+        )
+        for request in self.decoding:
+            request.remaining_tokens -= TOKENS_PER_PASS
+        self.decoding = [
+            request for request in self.decoding if request.remaining_tokens > 0
+        ] + prefilled
+        self._start_pass(now)
+
+    def _start_pass(self, now: float) -> None:
+        free_slots = self.model.slots - self.active
+        self.prefilling += self.queue[:free_slots]
+        self.queue = self.queue[free_slots:]
+        self.prefill_count = len(self.prefilling)
         if not self.active:
             self.pass_end = None
             return
-        reading = sum(prompt_seconds(self.model, r.prompt) for r in self.unread)
-        context = sum(r.prompt for r in self.writing)
-        step = self.model.step + len(self.writing) * self.model.step_per_request
-        step += context * self.model.step_per_token
-        self.pass_end = now + reading + (STRIDE * step if self.writing else step)
+        prefill_seconds = sum(
+            prompt_seconds(self.model, request.prompt_tokens)
+            for request in self.prefilling
+        )
+        context_tokens = sum(request.prompt_tokens for request in self.decoding)
+        step_seconds = (
+            self.model.step + len(self.decoding) * self.model.step_per_request
+        )
+        step_seconds += context_tokens * self.model.step_per_token
+        self.pass_end = (
+            now
+            + prefill_seconds
+            + (TOKENS_PER_PASS * step_seconds if self.decoding else step_seconds)
+        )
--- a/src/bench/fairness.py
+++ b/src/bench/fairness.py
@@ -1,14 +1,17 @@
-"""Measures small accounts while a large one floods, against first in first out."""
+"""Measures the latency of small accounts while a large account overloads the engines.
+
+The same load is measured on the baseline, which admits requests first in, first out.
+"""
 
 from typing import Any
 
 from bench.result import print_result
 from bench.serving import (
     BASELINE,
-    Bench,
+    ServingBench,
     capacity,
+    count_outcomes,
     make_parser,
-    outcomes,
     p99,
     serving,
 )
@@ -16,42 +19,57 @@
 
 SMALL_ACCOUNTS = 9
 SMALL_SHARE = 0.03
-"""Of capacity, for each small account."""
-FLOOD = 1.5
-"""Of capacity, for the large account."""
+"""Request rate of each small account, as a share of capacity."""
+LARGE_SHARE = 1.5
+"""Request rate of the large account, as a share of capacity."""
 DEADLINE = 5.0
+"""Deadline of each request, in seconds."""
+
 
+def answers_to_small_accounts(answers: dict[str, list[Answer]]) -> list[Answer]:
+    """Return the answers to all small accounts."""
+    return [
+        answer
+        for name, account_answers in answers.items()
+        if name != "large"
+        for answer in account_answers
+    ]
 
-def small_answers(answers: dict[str, list[Answer]]) -> list[Answer]:
-    """Return the answers of all small accounts."""
-    return [a for name, own in answers.items() if name != "large" for a in own]
 
+def compare(bench: ServingBench, max_rate: float) -> dict[str, Any]:
+    """Return the small accounts' p99 without and with load from the large account.
 
-def compare(bench: Bench, most: float) -> dict[str, Any]:
-    """Return the small accounts' p99 alone and with the large one flooding."""
+    Args:
+        bench: Deployment to measure.
+        max_rate: Capacity of the engines, in requests per second.
+    """
     names = [f"small{number}" for number in range(SMALL_ACCOUNTS)]
     for name in [*names, "large"]:
         bench.cluster.account(name)
-    rates = dict.fromkeys(names, SMALL_SHARE * most)
-    alone = small_answers(bench.measure(rates, deadline=DEADLINE))
-    flooded = bench.measure({**rates, "large": FLOOD * most}, deadline=DEADLINE)
-    small = small_answers(flooded)
+    rates = dict.fromkeys(names, SMALL_SHARE * max_rate)
+    isolated = answers_to_small_accounts(bench.measure(rates, deadline=DEADLINE))
+    answers = bench.measure(
+        {**rates, "large": LARGE_SHARE * max_rate}, deadline=DEADLINE
+    )
+    small = answers_to_small_accounts(answers)
     return {
-        "p99_alone": p99(alone),
+        "p99_alone": p99(isolated),
         "p99_flooded": p99(small),
-        "ratio": p99(small) / p99(alone),
-        "small": outcomes(small),
-        "large": outcomes(flooded["large"]),
+        "ratio": p99(small) / p99(isolated),
+        "small": count_outcomes(small),
+        "large": count_outcomes(answers["large"]),
     }
 
 
 def main(argv: list[str]) -> int:
-    """Run the benchmark."""
+    """Run the benchmark and return the exit code."""
     arguments = make_parser("fairness", __doc__).parse_args(argv)
-    most = capacity(arguments)
+    max_rate = capacity(arguments)
     with serving(arguments) as bench:
-        ours = compare(bench, most)
+        measured = compare(bench, max_rate)
     with serving(arguments, **BASELINE) as bench:
-        baseline = compare(bench, most)
-    print_result({"capacity": most, "ours": ours, "first_in_first_out": baseline})
+        baseline = compare(bench, max_rate)
+    print_result(
+        {"capacity": max_rate, "ours": measured, "first_in_first_out": baseline}
+    )
     return 0
--- a/src/bench/idle.py
+++ b/src/bench/idle.py
@@ -1,8 +1,8 @@
-"""Measures the processor time of gateways and loaders, idle and at their load.
+"""Measures the processor time of gateways and loaders, idle and under load.
 
-Real programs, each with an engine of its own beside a loader, against stand-ins of the
-platform in one other process. At a load, engines tell another number of requests at
-each look, so that reports go out as often as loaders look.
+Runs the real programs, with one engine per loader, against stand-ins of the platform
+in one other process. Under load, an engine reports a different number of requests at
+each poll, so that loaders send a report after every poll.
 """
 
 import os
@@ -31,40 +31,50 @@
 from ridgecourse_standins.ports import LAST_PORT, free_address, free_port
 
 HEARTBEAT_SECONDS = 1.2
-"""Between two writes of an engine's entry, as on the platform."""
+"""Interval between two writes of an engine's entry, as on the platform."""
 SETTLE_SECONDS = 6.0
-"""From the last start until processor time counts: all have met by then."""
+"""Time from the last start until the measurement, by which all processes have
+discovered each other."""
 PROGRESS_SECONDS = 5.0
+"""Interval between two progress messages."""
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 DOMAIN = "a"
 
 
 class LoadedEngine(StagingEngine):
-    """An engine whose number of requests changes with each look.
+    """An engine stand-in whose reported number of requests changes with each poll.
 
     Attributes:
-        most: Requests that it tells at most; 0 for an idle engine.
-        looks: Looks so far.
+        max_active: Highest number of requests reported; 0 for an idle engine.
+        poll_count: Number of polls.
     """
 
-    def __init__(self, host: str, most: int) -> None:
+    def __init__(self, host: str, max_active: int) -> None:
         super().__init__(LAYERS, host)
         self.version = 1
-        self.most = most
-        self.looks = 0
+        self.max_active = max_active
+        self.poll_count = 0
 
     def describe(self) -> dict[str, Any]:
-        """Return the report's fields."""
-        self.looks += 1
-        active = self.most - self.looks % 3 if self.most else 0
+        """Return the fields of the engine's report."""
+        self.poll_count += 1
+        active = self.max_active - self.poll_count % 3 if self.max_active else 0
         return {**super().describe(), "active": active}
 
 
 class Site:
-    """Gateways and loaders of one failure domain around a store.
+    """Gateways and loaders of one failure domain, with the store that they use.
 
     Attributes:
-        processes: The programs, by role.
+        directory: Directory for settings, logs and profiles.
+        profile: Whether to run each process under cProfile.
+        store: Stand-in of the platform's store.
+        engines: Engine stand-ins, one for each loader.
+        ports: First and last internal port.
+        seeds: Addresses of the seed nodes.
+        processes: Processes by role.
+        stopped: Set when heartbeats must end.
+        heartbeat_thread: Thread that writes the engines' entries.
     """
 
     def __init__(
@@ -78,7 +88,7 @@
             for number in range(1, loaders + 1)
         ]
         hosts = [f"127.0.0.{number}" for number in range(2, gateways + 2)]
-        listens = {
+        listen_addresses = {
             host: {name: free_address(host) for name in ("frontend", "readiness")}
             for host in hosts
         }
@@ -86,10 +96,11 @@
         self.seeds = [f"{host}:1" for host in hosts[:3]]
         self.processes = {
             "gateway": [
-                self._make("gateway", host, listen=listens[host]) for host in hosts
+                self._make_process("gateway", host, listen=listen_addresses[host])
+                for host in hosts
             ],
             "loader": [
-                self._make(
+                self._make_process(
                     "loader",
                     f"127.0.1.{number}",
                     listen={},
@@ -100,16 +111,16 @@
             ],
         }
         self.stopped = Event()
-        self.heart = Thread(target=self._beat, daemon=True)
+        self.heartbeat_thread = Thread(target=self._write_heartbeats, daemon=True)
 
-    def _make(self, role: str, host: str, **more: Any) -> Managed:
+    def _make_process(self, role: str, host: str, **extra_settings: Any) -> Managed:
         settings = make_settings(
             self.store.address,
             node_name=host,
             ip=host,
             internal_port_range=self.ports,
             seed_nodes=self.seeds,
-            **more,
+            **extra_settings,
         )
         path = self.directory / f"{host}.json"
         path.write_bytes(encode(settings))
@@ -120,12 +131,12 @@
         return Managed(host, command, self.directory)
 
     def start(self) -> None:
-        """Start all, and wait until gateways follow the engines."""
+        """Start all processes and wait until each loader knows all gateways."""
         self.store.start()
         self.store.put_config(make_config())
         for engine in self.engines:
             engine.start()
-        self.heart.start()
+        self.heartbeat_thread.start()
         for process in self.all():
             process.start()
         for loader in self.processes["loader"]:
@@ -134,22 +145,22 @@
             )
 
     def all(self) -> Iterator[Managed]:
-        """Yield all programs."""
+        """Yield all processes."""
         for processes in self.processes.values():
             yield from processes
 
-    def _beat(self) -> None:
-        """Write the engines' entries, one after the other."""
-        turns = 0
+    def _write_heartbeats(self) -> None:
+        """Write the engines' entries in turn, each every ``HEARTBEAT_SECONDS``."""
+        sequence = 0
         while not self.stopped.is_set():
-            turns += 1
+            sequence += 1
             for number, engine in enumerate(self.engines):
-                entry = make_engine_entry(engine.address, DOMAIN, sequence=turns)
+                entry = make_engine_entry(engine.address, DOMAIN, sequence=sequence)
                 self.store.put_target(f"i-{number}", entry)
                 self.stopped.wait(HEARTBEAT_SECONDS / len(self.engines))
 
     def close(self) -> None:
-        """End all."""
+        """Stop all processes, the engines and the store."""
         self.stopped.set()
         for process in self.all():
             if process.process is not None and self.profile:
@@ -161,57 +172,62 @@
 
 
 def processor_seconds(process: Managed) -> float:
-    """Return the processor time that a process has used so far."""
+    """Return the processor time that a process has used, in seconds."""
     text = Path(f"/proc/{process.running.pid}/stat").read_text()
     user, system = text.rpartition(")")[2].split()[11:13]
     return (int(user) + int(system)) / TICKS_PER_SECOND
 
 
-def watch(seconds: float) -> None:
-    """Wait, and tell on standard error how far it is."""
-    begun = monotonic()
-    while (passed := monotonic() - begun) < seconds:
-        print(f"{passed:.0f} of {seconds:.0f} s", file=sys.stderr)
-        sleep(min(PROGRESS_SECONDS, seconds - passed))
+def wait_with_progress(seconds: float) -> None:
+    """Wait and print the progress to standard error."""
+    started_at = monotonic()
+    while (elapsed := monotonic() - started_at) < seconds:
+        print(f"{elapsed:.0f} of {seconds:.0f} s", file=sys.stderr)
+        sleep(min(PROGRESS_SECONDS, seconds - elapsed))
 
 
 def measure(site: Site, seconds: float) -> Iterator[dict[str, Any]]:
-    """Yield the processor seconds that each role takes a process-minute."""
+    """Yield, for each role, the processor time per process and minute, in seconds."""
     before = {process.name: processor_seconds(process) for process in site.all()}
-    calls, begun = site.store.calls, monotonic()
-    watch(seconds)
-    minutes = (monotonic() - begun) / 60.0
+    calls_before, started_at = site.store.calls, monotonic()
+    wait_with_progress(seconds)
+    minutes = (monotonic() - started_at) / 60.0
     for role, processes in site.processes.items():
-        used = [processor_seconds(p) - before[p.name] for p in processes]
+        used_seconds = [
+            processor_seconds(process) - before[process.name] for process in processes
+        ]
         yield {
             "role": role,
             "processes": len(processes),
-            "processor_per_minute": mean(used) / minutes,
-            "processor_most": max(used) / minutes,
-            "store_calls_per_minute": (site.store.calls - calls) / minutes,
+            "processor_per_minute": mean(used_seconds) / minutes,
+            "processor_most": max(used_seconds) / minutes,
+            "store_calls_per_minute": (site.store.calls - calls_before) / minutes,
         }
 
 
-def parse(argv: Sequence[str]) -> Any:
-    """Return the options."""
+def parse_options(argv: Sequence[str]) -> Any:
+    """Parse the command line and return the options."""
     parser = ArgumentParser(prog="bench idle", description=__doc__)
     parser.add_argument("--gateways", type=int, default=6)
     parser.add_argument("--loaders", type=int, default=6)
     parser.add_argument("--seconds", type=float, default=30.0)
     parser.add_argument(
-        "--active", type=int, default=0, help="requests that each engine runs"
+        "--active",
+        type=int,
+        default=0,
+        help="requests that each engine reports as running",
     )
     parser.add_argument(
-        "--profile", type=Path, help="folder for a profile of each process (cProfile)"
+        "--profile", type=Path, help="directory for a cProfile profile of each process"
     )
     return parser.parse_args(argv)
 
 
 def main(argv: list[str]) -> int:
-    """Run the benchmark."""
-    options = parse(argv)
-    with TemporaryDirectory() as scratch:
-        directory = options.profile or Path(scratch)
+    """Run the benchmark and return the exit code."""
+    options = parse_options(argv)
+    with TemporaryDirectory() as temporary:
+        directory = options.profile or Path(temporary)
         directory.mkdir(parents=True, exist_ok=True)
         site = Site(
             directory,
@@ -222,7 +238,7 @@
         )
         try:
             site.start()
-            watch(SETTLE_SECONDS)
+            wait_with_progress(SETTLE_SECONDS)
             for row in measure(site, options.seconds):
                 print_result({**row, "active": options.active})
         finally:
--- a/src/bench/placement.py
+++ b/src/bench/placement.py
@@ -1,11 +1,20 @@
-"""Measures where gateways send requests, in virtual time on modelled engines.
-
-Engines join one after the other, as after new weights, while gateways see reports
-that are up to 0.2 s old. A refused caller comes back once, as told. The policies: any
-engine by chance; the one with the fewest requests; the one with the shortest wait;
-the same with observed delays; also callers that are late in any case only where there
-is room to spare. Compared are, by policy, the share of requests whose first event comes
-within its objective, and the credit of all: 1 for those, less for what came late.
+"""Compares placement policies of gateways on simulated engines, in virtual time.
+
+Engines become available one after the other, as after a change of weights, while
+gateways see reports that are up to 0.2 s old. A client that is refused retries once,
+after the delay given in the refusal.
+
+Policies:
+    random: A random engine.
+    count: The engine with the fewest requests.
+    unread: The engine with the shortest expected wait.
+    observed: As "unread", with the observed delay of first events added.
+    spare: As "observed"; requests that are late in any case are admitted only at
+        engines with spare capacity.
+
+Results per policy are the share of requests whose first event comes within its
+objective, and the mean credit of all requests: 1 for a request in time, less for a
+late request.
 """
 
 from argparse import ArgumentParser
@@ -52,21 +61,29 @@
 )
 OBJECTIVE_SECONDS = 0.4
 SHORT_OBJECTIVE_SECONDS = 0.3
-"""Objectives of the two kinds of requests."""
+"""Latency objectives of the two classes of requests."""
 LOOK_SECONDS = 0.1
-PATIENCE_SECONDS = 6.0
-"""For which a usual caller waits in all."""
+"""Interval at which a loader polls its engine."""
+TIMEOUT_SECONDS = 6.0
+"""Total time that a typical client waits for an answer."""
 LATE_CREDIT = 0.25
 REFUSED_AGAIN_CREDIT = -0.3
-"""Worth of an answer that is late, also after a refusal, or of being refused again, as
-the users reckon it."""
+"""Credit of a late answer, including one after a refusal, and of a second refusal, as
+rated by users."""
 DOMAINS = 3
 POLICIES = ("random", "count", "unread", "observed", "spare")
 
 
 @dataclass
 class Gateway:
-    """A gateway with what it knows of each engine."""
+    """A simulated gateway.
+
+    Attributes:
+        domain: Index of the gateway's failure domain.
+        loads: Load of each engine as known to the gateway.
+        delay: Observed delay of first events.
+        usual_timeout: Estimate of the usual client timeout.
+    """
 
     domain: int
     loads: list[EngineLoad]
@@ -76,16 +93,21 @@
 
 @dataclass
 class Simulation:
-    """Traffic over gateways and engines.
+    """Discrete-event simulation of clients, gateways and engines.
 
     Attributes:
-        policy: How gateways choose.
-        engines: The engines.
-        gateways: The gateways.
-        done: All requests.
+        policy: Placement policy of the gateways, one of ``POLICIES``.
+        engines: Simulated engines.
+        gateways: Simulated gateways.
+        random: Source of randomness.
+        estimates: Each loader's estimate of unread prompts, by index of the engine.
+        requests: All requests that clients have sent.
+        events: Heap of scheduled actions: time, sequence number, action.
+        sequence: Numbers that order actions scheduled for the same time.
+        senders: Gateway that dispatched each request, by the request's identity.
         short_share: Share of requests with the shorter objective.
-        patience_spread: Share by which callers wait longer or less long than usual.
-        senders: The gateway that sent each request, by the request's identity.
+        timeout_spread: Largest relative deviation of client timeouts from the usual
+            timeout.
     """
 
     policy: str
@@ -97,118 +119,137 @@
     events: list[tuple[float, int, Callable[[float], None]]] = field(
         default_factory=list
     )
-    order: Iterator[int] = field(default_factory=count)
+    sequence: Iterator[int] = field(default_factory=count)
     senders: dict[int, Gateway] = field(default_factory=dict)
     short_share: float = 0.0
     patience_spread: float = 0.0
 
-    def at(self, time: float, action: Callable[[float], None]) -> None:
-        """Let something happen at a time."""
-        heappush(self.events, (time, next(self.order), action))
+    def schedule(self, time: float, action: Callable[[float], None]) -> None:
+        """Schedule an action at a time."""
+        heappush(self.events, (time, next(self.sequence), action))
 
     def run(self, seconds: float, rate: float) -> None:
-        """Let callers send for some seconds."""
+        """Run the simulation.
+
+        Args:
+            seconds: Duration of the traffic.
+            rate: Request rate, in requests per second.
+        """
         self.estimates = [UnreadEstimate() for _ in self.engines]
         time = 0.0
         while (time := time + self.random.expovariate(rate)) < seconds:
-            self.at(time, self.arrive)
+            self.schedule(time, self.send_new_request)
         for index in range(len(self.engines)):
-            self.at(self.random.random() * LOOK_SECONDS, self.make_look(index, 0))
+            self.schedule(self.random.random() * LOOK_SECONDS, self.make_poll(index, 0))
         while self.events:
             time, _, action = heappop(self.events)
             if time > seconds + 5.0:
                 return
             action(time)
 
-    def arrive(self, now: float) -> None:
-        """Let a caller send a new request."""
-        prompt = min(3880, int(self.random.lognormvariate(6.5, 0.8)) + 40)
-        answer = min(250, 5 * int(self.random.lognormvariate(2.7, 0.7)) + 5)
-        short = self.random.random() < self.short_share
-        objective = SHORT_OBJECTIVE_SECONDS if short else OBJECTIVE_SECONDS
-        patience = PATIENCE_SECONDS
+    def send_new_request(self, now: float) -> None:
+        """Create a new request of a client and send the request."""
+        prompt_tokens = min(3880, int(self.random.lognormvariate(6.5, 0.8)) + 40)
+        answer_tokens = min(250, 5 * int(self.random.lognormvariate(2.7, 0.7)) + 5)
+        is_short = self.random.random() < self.short_share
+        objective = SHORT_OBJECTIVE_SECONDS if is_short else OBJECTIVE_SECONDS
+        client_timeout = TIMEOUT_SECONDS
         if self.patience_spread:
-            patience *= 1 + self.patience_spread * self.random.uniform(-1.0, 1.0)
-        request = SimulatedRequest(now, prompt, answer, objective, patience)
+            client_timeout *= 1 + self.patience_spread * self.random.uniform(-1.0, 1.0)
+        request = SimulatedRequest(
+            now, prompt_tokens, answer_tokens, objective, client_timeout
+        )
         self.done.append(request)
         self.send(request, now)
 
     def send(self, request: SimulatedRequest, now: float) -> None:
-        """Send a request to where its gateway thinks best, or refuse it."""
+        """Dispatch a request to the engine that a gateway chooses, or refuse it."""
         gateway = self.random.choice(self.gateways)
-        index, wait = self.choose(gateway, Seconds(now))
-        reading = prompt_seconds(MODEL, request.prompt)
+        index, wait = self.choose_engine(gateway, Seconds(now))
+        reading = prompt_seconds(MODEL, request.prompt_tokens)
         delay, waited = 0.0, 0.0
         if self.policy in ("observed", "spare"):
             delay = gateway.delay.expect(Seconds(now))
-        left = request.patience - (now - request.arrived)
+        time_left = request.client_timeout - (now - request.arrived)
         if self.policy == "spare":
-            waited = gateway.patience.observe(left)
+            waited = gateway.patience.observe(time_left)
         fill = gateway.loads[index].requests(now, SENDERS) / MODEL.slots
         prospect = Prospect(request.objective, waited, wait, reading, fill, delay)
         excess = excess_wait(prospect)
         if self.policy != "random" and excess is not None:
-            request.refusals += 1
-            if request.refusals == 1:
-                back = now + come_back_seconds(excess, left, self.random)
-                self.at(back, lambda then: self.send(request, then))
+            request.refusal_count += 1
+            if request.refusal_count == 1:
+                retry_at = now + come_back_seconds(excess, time_left, self.random)
+                self.schedule(retry_at, lambda time: self.send(request, time))
             return
-        request.sent = now
-        request.expected = wait + reading + FIRST_EVENT_SECONDS
-        counted = 0.0 if self.policy == "count" else reading
+        request.dispatched_at = now
+        request.expected_delay = wait + reading + FIRST_EVENT_SECONDS
+        counted_seconds = 0.0 if self.policy == "count" else reading
         self.senders[id(request)] = gateway
         load = gateway.loads[index]
-        load.waiting[str(id(request))] = Pending(Seconds(now), counted)
+        load.waiting[str(id(request))] = Pending(Seconds(now), counted_seconds)
         load.outstanding += 1
-        idle = self.engines[index].pass_end is None
-        self.engines[index].take(request, now)
-        if idle:
+        was_idle = self.engines[index].pass_end is None
+        self.engines[index].enqueue(request, now)
+        if was_idle:
             self.schedule_pass(index)
 
-    def choose(self, gateway: Gateway, now: Seconds) -> tuple[int, float]:
-        """Return an engine and the wait expected there."""
-        able = [i for i, engine in enumerate(self.engines) if engine.open_at <= now]
+    def choose_engine(self, gateway: Gateway, now: Seconds) -> tuple[int, float]:
+        """Return the index of the chosen engine and the expected wait, in seconds."""
+        available = [
+            index
+            for index, engine in enumerate(self.engines)
+            if engine.available_at <= now
+        ]
         if self.policy == "random":
-            return self.random.choice(able), 0.0
+            return self.random.choice(available), 0.0
         costs = []
-        for index in able:
+        for index in available:
             load = gateway.loads[index]
             wait = load.wait(MODEL, MODEL.slots, now, SENDERS)
-            near = index % DOMAINS == gateway.domain
-            cost = placement_cost(load, wait, MODEL.slots, near, now, self.random)
+            is_local = index % DOMAINS == gateway.domain
+            cost = placement_cost(load, wait, MODEL.slots, is_local, now, self.random)
             costs.append((cost, index, wait))
         _, index, wait = min(costs)
         return index, wait
 
     def schedule_pass(self, index: int) -> None:
-        """Let an engine's pass end when it does."""
+        """Schedule the end of an engine's current pass."""
         end = self.engines[index].pass_end
         if end is None:
             return
 
         def action(now: float) -> None:
-            self.engines[index].end_pass(now)
-            self.forget_begun(index, now)
+            self.engines[index].finish_pass(now)
+            self.record_first_events(index, now)
             self.schedule_pass(index)
 
-        self.at(end, action)
+        self.schedule(end, action)
+
+    def record_first_events(self, index: int, now: float) -> None:
+        """Remove requests with a first event from the gateways' waiting requests.
 
-    def forget_begun(self, index: int, now: float) -> None:
-        """Take requests with a first event from what gateways wait for."""
+        Also records by how much each first event came later than estimated.
+        """
         engine = self.engines[index]
-        open_ids = {str(id(r)) for r in engine.unread + engine.queue}
+        waiting_ids = {str(id(request)) for request in engine.prefilling + engine.queue}
         for gateway in self.gateways:
             waiting = gateway.loads[index].waiting
-            for name in [name for name in waiting if name not in open_ids]:
-                del waiting[name]
-        for request in engine.begun:
-            delay = now - request.sent - request.expected
+            for request_id in [
+                request_id for request_id in waiting if request_id not in waiting_ids
+            ]:
+                del waiting[request_id]
+        for request in engine.just_started:
+            delay = now - request.dispatched_at - request.expected_delay
             self.senders[id(request)].delay.observe(delay, Seconds(now))
 
-    def make_look(self, index: int, number: int) -> Callable[[float], None]:
-        """Return a loader's look, which ends in reports to the gateways."""
+    def make_poll(self, index: int, number: int) -> Callable[[float], None]:
+        """Return the action that polls an engine and reports its load to the gateways.
+
+        Gateways in other failure domains get every second report.
+        """
 
-        def look(now: float) -> None:
+        def poll(now: float) -> None:
             engine = self.engines[index]
             status = EngineStatus(
                 WeightsVersion(1), False, len(engine.queue), engine.active, 0, 1
@@ -220,65 +261,86 @@
             for gateway in self.gateways:
                 if index % DOMAINS == gateway.domain or number % 2 == 0:
                     gateway.loads[index].report(status, Seconds(now))
-            self.at(now + LOOK_SECONDS, self.make_look(index, number + 1))
+            self.schedule(now + LOOK_SECONDS, self.make_poll(index, number + 1))
 
-        return look
+        return poll
 
 
 def measure(policy: str, arguments: Any, short_share: float = 0.0) -> dict[str, Any]:
-    """Return what callers got under one policy."""
+    """Simulate one policy and return its results."""
     random = Random(arguments.seed)
-    openings = [0.0, 0.0, *(1.0 + 0.4 * n for n in range(arguments.engines - 2))]
-    engines = [PassEngine(MODEL, open_at) for open_at in openings]
+    start_times = [
+        0.0,
+        0.0,
+        *(1.0 + 0.4 * number for number in range(arguments.engines - 2)),
+    ]
+    engines = [PassEngine(MODEL, available_at) for available_at in start_times]
     gateways = [
-        Gateway(n % DOMAINS, [EngineLoad() for _ in engines])
-        for n in range(arguments.gateways)
+        Gateway(number % DOMAINS, [EngineLoad() for _ in engines])
+        for number in range(arguments.gateways)
     ]
     simulation = Simulation(policy, engines, gateways, random, short_share=short_share)
     simulation.run(arguments.seconds, arguments.rate)
-    done = simulation.done
-    waits = [r.first_event - r.sent for r in done if r.first_event is not None]
+    requests = simulation.done
+    delays = [
+        request.first_event - request.dispatched_at
+        for request in requests
+        if request.first_event is not None
+    ]
     return {
-        "credit": sum(map(credit, done)) / len(done),
-        "in_time": sum(credit(request) == 1.0 for request in done) / len(done),
-        "refused": sum(request.refusals > 1 for request in done) / len(done),
-        "worst": worst_credit(done),
-        "p50_seconds": quantile(waits, 0.5),
-        "p90_seconds": quantile(waits, 0.9),
+        "credit": sum(map(credit, requests)) / len(requests),
+        "in_time": sum(credit(request) == 1.0 for request in requests) / len(requests),
+        "refused": sum(request.refusal_count > 1 for request in requests)
+        / len(requests),
+        "worst": lowest_credit(requests),
+        "p50_seconds": quantile(delays, 0.5),
+        "p90_seconds": quantile(delays, 0.9),
     }
 
 
-def worst_credit(done: list[SimulatedRequest]) -> float:
-    """Return the credit of the kind, or the longest tenth of one, that has least."""
+def lowest_credit(requests: list[SimulatedRequest]) -> float:
+    """Return the lowest mean credit of any group of requests.
+
+    The groups are each class of requests, and the tenth of each class with the
+    longest prompts.
+    """
     means = []
-    for objective in sorted({request.objective for request in done}):
-        kind = [request for request in done if request.objective == objective]
-        longest = sorted(kind, key=lambda request: -request.prompt)
-        for group in (kind, longest[: len(kind) // 10]):
+    for objective in sorted({request.objective for request in requests}):
+        same_class = [request for request in requests if request.objective == objective]
+        longest = sorted(same_class, key=lambda request: -request.prompt_tokens)
+        for group in (same_class, longest[: len(same_class) // 10]):
             means.append(sum(map(credit, group)) / max(1, len(group)))
     return min(means)
 
 
 def credit(request: SimulatedRequest) -> float:
-    """Return what an answer was worth."""
-    if request.refusals > 1:
+    """Return the credit of a request."""
+    if request.refusal_count > 1:
         return REFUSED_AGAIN_CREDIT
     if request.first_event is None:
         return 0.0
-    late = request.first_event - request.arrived > request.objective
-    return LATE_CREDIT if late else 1.0
+    is_late = request.first_event - request.arrived > request.objective
+    return LATE_CREDIT if is_late else 1.0
 
 
 def main(argv: list[str]) -> int:
-    """Run the benchmark."""
+    """Run the benchmark and return the exit code."""
     parser = ArgumentParser(prog="python -m bench placement", description=__doc__)
     parser.add_argument("--engines", type=int, default=6)
     parser.add_argument("--gateways", type=int, default=6)
-    parser.add_argument("--rate", type=float, default=55.0, help="requests a second")
-    parser.add_argument("--seconds", type=float, default=20.0, help="virtual time")
+    parser.add_argument("--rate", type=float, default=55.0, help="requests per second")
+    parser.add_argument(
+        "--seconds",
+        type=float,
+        default=20.0,
+        help="duration of the traffic in virtual time",
+    )
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument(
-        "--short-share", type=float, default=0.0, help="of requests with 0.3 s"
+        "--short-share",
+        type=float,
+        default=0.0,
+        help="share of requests with an objective of 0.3 s",
     )
     arguments = parser.parse_args(argv)
     print_result(
--- a/src/bench/result.py
+++ b/src/bench/result.py
@@ -1,4 +1,4 @@
-"""Figures of a benchmark: quantiles, and the line that it prints."""
+"""Results of a benchmark: quantiles and JSON output."""
 
 import json
 from collections.abc import Sequence
@@ -6,15 +6,15 @@
 
 
 def quantile(values: Sequence[float], share: float) -> float:
-    """Return the value below which a share of the values lies; 0 for none."""
+    """Return a quantile without interpolation, or 0 if there are no values."""
     if not values:
         return 0.0
-    ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    sorted_values = sorted(values)
+    return sorted_values[min(len(sorted_values) - 1, int(share * len(sorted_values)))]
 
 
 def print_result(values: dict[str, Any]) -> None:
-    """Print figures as one JSON line, rounded to what they are worth."""
+    """Print values as one line of JSON, with floats rounded to 4 decimal places."""
     rounded = {
         name: round(value, 4) if isinstance(value, float) else value
         for name, value in values.items()
--- a/src/bench/rollout.py
+++ b/src/bench/rollout.py
@@ -1,7 +1,7 @@
-"""Measures a rollout: time until all serve, origin bytes, requests meanwhile.
+"""Measures a rollout: duration, bytes read from the origin, and concurrent requests.
 
-Links are limited by settings so that they, not this machine's processors, are
-the bound.
+Settings limit the rates of links, so that the links and not the machine's processors
+are the bottleneck.
 """
 
 import json
@@ -20,24 +20,36 @@
 
 MEBIBYTE = 1024 * 1024
 FAULTS = ("kill", "stall", "corrupt", "supersede", "origin-down", "cut")
-BEFORE_SECONDS = 5.0
-FAULT_AT = 0.4
-"""Share of the one-copy time after which a fault strikes."""
+BEFORE_ROLLOUT_SECONDS = 5.0
+"""Duration of the request load before the rollout."""
+FAULT_TIME_SHARE = 0.4
+"""Time from the start of the rollout to the fault, as a share of the time that one
+copy of the version takes over a link."""
 FAULT_SECONDS = 3.0
+"""Duration of a temporary fault."""
 
 
 def make_parser() -> ArgumentParser:
-    """Return the parser of the arguments."""
+    """Return the argument parser."""
     parser = ArgumentParser(prog="python -m bench rollout", description=__doc__)
     parser.add_argument("--instances", type=int, default=12)
     parser.add_argument("--domains", type=int, default=3)
     parser.add_argument("--size", type=int, default=16 * MEBIBYTE)
     parser.add_argument("--chunks", type=int, default=100)
     parser.add_argument("--link", type=float, default=2 * MEBIBYTE)
-    parser.add_argument("--origin-link", type=float, help="default: as --link")
+    parser.add_argument(
+        "--origin-link", type=float, help="bytes per second; default: --link"
+    )
     parser.add_argument("--origin-copies", type=int, default=1)
-    parser.add_argument("--requests", type=float, default=0.0, help="a second")
-    parser.add_argument("--shared", type=int, default=0, help="files of 4 kept")
+    parser.add_argument(
+        "--requests", type=float, default=0.0, help="requests per second"
+    )
+    parser.add_argument(
+        "--shared",
+        type=int,
+        default=0,
+        help="number of the 4 files that the new version keeps",
+    )
     parser.add_argument("--fault", choices=FAULTS)
     parser.add_argument("--baseline", action="store_true")
     parser.add_argument("--keep", type=Path)
@@ -48,18 +60,27 @@
 
 
 class RolloutBench:
-    """One measured rollout."""
+    """Runs and measures one rollout.
+
+    Attributes:
+        cluster: Deployment to measure.
+        arguments: Arguments of the benchmark.
+        caller: Client that sends requests and checks the answers.
+        one_copy_seconds: Time that one copy of a version takes over a link, in seconds.
+        placed_at: Time at which the rollout started.
+        killed: Agent that was killed, if any.
+    """
 
     def __init__(self, cluster: Cluster, arguments: Namespace) -> None:
         self.cluster = cluster
         self.arguments = arguments
         self.caller = Caller([], FLEET, "")
-        self.one_copy = arguments.size / arguments.link
+        self.one_copy_seconds = arguments.size / arguments.link
         self.placed_at = 0.0
         self.killed: Node | None = None
 
     def publish(self, version: str, seed: int, shared: int = 0) -> str:
-        """Make and publish a version; return its root digest."""
+        """Create and publish a version and return its root digest."""
         directory = self.cluster.models / f"writer-{version}"
         base = self.arguments.seed
         make_version(directory, self.arguments.size, base + seed, 4, base + 1, shared)
@@ -75,14 +96,14 @@
         return root
 
     def write_manifest_of(self, directory: Path) -> str:
-        """Write the manifest of a version; return its root digest."""
-        chunk = max(1024, self.arguments.size // self.arguments.chunks)
-        manifest = make_manifest(directory, chunk, lambda _: None).unwrap()
+        """Write the manifest of a version and return its root digest."""
+        chunk_bytes = max(1024, self.arguments.size // self.arguments.chunks)
+        manifest = make_manifest(directory, chunk_bytes, lambda _: None).unwrap()
         write_manifest(directory, manifest)
         return self.caller.know(directory)
 
     def run(self) -> dict[str, Any]:
-        """Set up, measure, and return the figures."""
+        """Set up the deployment, run the rollout and return the results."""
         cluster = self.cluster
         cluster.set_up()
         self.caller.key = cluster.account("bench")
@@ -90,40 +111,40 @@
         before: list[Answer] = []
         load: Load | None = None
         if self.arguments.requests or self.arguments.shared:
-            first = self.publish("v1", 1)
+            initial_root = self.publish("v1", 1)
             cluster.change("Place", service=MODEL_SERVICE, model="writer", version="v1")
-            cluster.wait_serving(first, 30 + 10 * self.one_copy)
+            cluster.wait_serving(initial_root, 30 + 10 * self.one_copy_seconds)
         if self.arguments.requests:
             load = Load(
                 self.caller, MODEL_SERVICE, self.arguments.requests, repeatable=True
             )
             load.start()
-            sleep(BEFORE_SECONDS)
+            sleep(BEFORE_ROLLOUT_SECONDS)
             before = list(self.caller.history)
-        counts = self.moved()
+        status_before = self.agent_status()
         root = self.publish("v2", 2, self.arguments.shared)
         self.placed_at = monotonic()
         cluster.change("Place", service=MODEL_SERVICE, model="writer", version="v2")
-        root = self.strike(root)
-        cluster.wait_serving(root, 60 + 20 * self.one_copy)
+        root = self.inject_fault(root)
+        cluster.wait_serving(root, 60 + 20 * self.one_copy_seconds)
         during = self.caller.history[len(before) :]
         if load is not None:
             load.close()
-        return self.figures(root, counts, before, during)
+        return self.summarize(root, status_before, before, during)
 
-    def moved(self) -> dict[str, dict[str, Any]]:
-        """Return what each agent says it has moved."""
+    def agent_status(self) -> dict[str, dict[str, Any]]:
+        """Return the status of each agent, with its transfer counters, by target."""
         return {
             node.settings["target"]: self.cluster.status(node)
             for node in self.cluster.model_agents()
         }
 
-    def strike(self, root: str) -> str:
-        """Bring the fault about; return the version that must be served."""
+    def inject_fault(self, root: str) -> str:
+        """Inject the fault and return the root digest that targets must then serve."""
         fault = self.arguments.fault
         if fault is None:
             return root
-        sleep(FAULT_AT * self.one_copy)
+        sleep(FAULT_TIME_SHARE * self.one_copy_seconds)
         cluster = self.cluster
         if fault == "corrupt":
             cluster.fault("origin", corrupt=3)
@@ -132,11 +153,11 @@
             sleep(FAULT_SECONDS)
             cluster.fault("origin", down=False)
         elif fault == "kill":
-            self.killed = self.busiest()
+            self.killed = self.top_origin_reader()
             self.killed.managed.kill()
             self.killed.managed.start()
         elif fault == "stall":
-            stalled = self.busiest()
+            stalled = self.top_origin_reader()
             stalled.managed.freeze()
             sleep(FAULT_SECONDS)
             stalled.managed.wake()
@@ -144,48 +165,63 @@
             root = self.publish("v3", 3)
             cluster.change("Place", service=MODEL_SERVICE, model="writer", version="v3")
         elif fault == "cut":
-            raise SystemExit("the fault cut needs relays and is not built yet")
+            raise SystemExit("the fault 'cut' needs relays and is not implemented")
         return root
 
-    def busiest(self) -> Node:
-        """Return the agent that has drawn most from the origin."""
+    def top_origin_reader(self) -> Node:
+        """Return the agent that has fetched the most bytes from the origin."""
         return max(
             self.cluster.model_agents(),
             key=lambda node: self.cluster.status(node)["from_origin"],
         )
 
     def serving_times(self, root: str) -> list[float]:
-        """Return when each agent began to serve a version, in seconds from placing."""
+        """Return the seconds from the start of the rollout until each agent served."""
         times = []
         for node in self.cluster.model_agents():
             event = node.managed.wait_event("version-serving", version=root)
             times.append(event["mono"] - self.placed_at)
         return times
 
-    def figures(
+    def summarize(
         self,
         root: str,
-        before_moved: dict[str, dict[str, Any]],
+        status_before: dict[str, dict[str, Any]],
         before: Sequence[Answer],
         during: Sequence[Answer],
     ) -> dict[str, Any]:
-        """Return the figures of the run."""
+        """Return the results of the run.
+
+        Args:
+            root: Root digest of the version that all targets serve.
+            status_before: Status of each agent before the rollout, by target.
+            before: Answers to requests before the rollout.
+            during: Answers to requests during the rollout.
+        """
         arguments, cluster = self.arguments, self.cluster
         size = arguments.size
-        moved = self.moved()
-        across: dict[str, int] = {}
+        status_after = self.agent_status()
+        cross_domain_bytes: dict[str, int] = {}
         uploads = [0]
         for node in cluster.model_agents():
             target = node.settings["target"]
-            was = before_moved[target]
-            restarted = was["incarnation"] != moved[target]["incarnation"]
-            base = {} if restarted else was
-            gained = moved[target]["across_domains"] - base.get("across_domains", 0)
-            across[node.domain] = across.get(node.domain, 0) + gained
-            uploads.append(moved[target]["uploaded"] - base.get("uploaded", 0))
+            target_before = status_before[target]
+            restarted = (
+                target_before["incarnation"] != status_after[target]["incarnation"]
+            )
+            initial_counters = {} if restarted else target_before
+            added_bytes = status_after[target]["across_domains"] - initial_counters.get(
+                "across_domains", 0
+            )
+            cross_domain_bytes[node.domain] = (
+                cross_domain_bytes.get(node.domain, 0) + added_bytes
+            )
+            uploads.append(
+                status_after[target]["uploaded"] - initial_counters.get("uploaded", 0)
+            )
         origin = cluster.get_json(cluster.addresses["origin"], "/counts")
         versions = ("writer-v2", "writer-v3")
-        drawn = sum(origin["sent"].get(version, 0) for version in versions)
+        origin_bytes = sum(origin["sent"].get(version, 0) for version in versions)
         times = self.serving_times(root)
         latest = max(times)
         return {
@@ -194,38 +230,47 @@
             "fault": arguments.fault,
             "seconds_to_all": latest,
             "seconds_to_half": quantile(times, 0.5),
-            "one_copy_seconds": self.one_copy,
-            "ratio": latest / self.one_copy,
-            "origin_copies": drawn / size,
+            "one_copy_seconds": self.one_copy_seconds,
+            "ratio": latest / self.one_copy_seconds,
+            "origin_copies": origin_bytes / size,
             "origin_first": min(origin["first_sent"].values()) - self.placed_at,
             "origin_last": max(origin["last_sent"].values()) - self.placed_at,
-            "cross_domain_copies": max(across.values()) / size,
+            "cross_domain_copies": max(cross_domain_bytes.values()) / size,
             "largest_upload_copies": max(uploads) / size,
-            "fetched_twice_copies": sum(m["fetched_twice"] for m in moved.values())
+            "fetched_twice_copies": sum(
+                status["fetched_twice"] for status in status_after.values()
+            )
             / size,
-            "p50_before": quantile([a.seconds for a in before], 0.5),
-            "p99_before": quantile([a.seconds for a in before], 0.99),
-            "p50_during": quantile([a.seconds for a in during], 0.5),
-            "p99_during": quantile([a.seconds for a in during], 0.99),
+            "p50_before": quantile([answer.seconds for answer in before], 0.5),
+            "p99_before": quantile([answer.seconds for answer in before], 0.99),
+            "p50_during": quantile([answer.seconds for answer in during], 0.5),
+            "p99_during": quantile([answer.seconds for answer in during], 0.99),
             "requests": len(during),
-            "completed": sum(a.outcome == "completed" for a in during),
-            "not_run": sum(a.outcome == "not-run" for a in during),
-            "unknown": sum(a.outcome == "unknown" for a in during),
-            "wrong_bytes": self.wrong(root, [*before, *during]),
-            "agent_peak_bytes": max(m["usage"]["peak_bytes"] for m in moved.values()),
+            "completed": sum(answer.outcome == "completed" for answer in during),
+            "not_run": sum(answer.outcome == "not-run" for answer in during),
+            "unknown": sum(answer.outcome == "unknown" for answer in during),
+            "wrong_bytes": self.count_wrong(root, [*before, *during]),
+            "agent_peak_bytes": max(
+                status["usage"]["peak_bytes"] for status in status_after.values()
+            ),
         }
 
-    def wrong(self, root: str, answers: Sequence[Answer]) -> int:
-        """Return answers, and engines asked now, that are not of their version."""
-        wrong = sum(a.outcome == "completed" and not a.whole for a in answers)
+    def count_wrong(self, root: str, answers: Sequence[Answer]) -> int:
+        """Return the number of incorrect answers and of engines with other weights."""
+        wrong_count = sum(
+            answer.outcome == "completed" and not answer.whole for answer in answers
+        )
         for node in self.cluster.model_agents():
             address = node.settings["engine"]["address"]
-            wrong += not engine_is_right(self.caller, address, root)
-        return wrong
+            wrong_count += not has_correct_weights(self.caller, address, root)
+        return wrong_count
+
 
+def has_correct_weights(caller: Caller, address: str, root: str) -> bool:
+    """Check whether an engine answers as the version's weights require.
 
-def engine_is_right(caller: Caller, address: str, root: str) -> bool:
-    """Ask an engine past its agent and check the answer against the weights."""
+    The request goes directly to the engine, not through its agent.
+    """
     body = json.dumps({"prompt": f"check {address}", "max_tokens": 8})
     order = {
         "request_id": f"check-{address}",
@@ -243,7 +288,7 @@
 
 
 def make_plan(arguments: Namespace) -> Plan:
-    """Return the deployment to measure."""
+    """Return the plan of the deployment to measure."""
     domains = tuple(f"domain{number}" for number in range(arguments.domains))
     agent = {
         "link": {
@@ -266,7 +311,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the benchmark."""
+    """Run the benchmark and return the exit code."""
     arguments = make_parser().parse_args(argv)
     cluster = Cluster(make_plan(arguments), arguments.keep)
     try:
--- a/src/bench/routing.py
+++ b/src/bench/routing.py
@@ -1,35 +1,49 @@
-"""Measures routing with one slow engine, against random choice."""
+"""Measures routing with one slow engine.
+
+The same load is measured on the baseline, which chooses targets at random.
+"""
 
 from typing import Any
 
 from bench.result import print_result
-from bench.serving import BASELINE, Bench, capacity, make_parser, outcomes, p99, serving
+from bench.serving import (
+    BASELINE,
+    ServingBench,
+    capacity,
+    count_outcomes,
+    make_parser,
+    p99,
+    serving,
+)
 
 LOAD_SHARE = 0.5
+"""Request rate as a share of capacity."""
 SLOW_FACTOR = 4.0
+"""Factor by which the slow engine's step takes longer."""
 STEP_SECONDS = 0.0095
+"""Duration of an engine's step."""
 
 
-def compare(bench: Bench, rate: float) -> dict[str, Any]:
-    """Return the p99 with all engines alike and with one slow."""
-    alike = bench.measure({"bench": rate})["bench"]
+def compare(bench: ServingBench, rate: float) -> dict[str, Any]:
+    """Return the p99 with equally fast engines and with one slow engine."""
+    equal = bench.measure({"bench": rate})["bench"]
     bench.cluster.fault("engine-a-0", step_seconds=STEP_SECONDS * SLOW_FACTOR)
     slow = bench.measure({"bench": rate})["bench"]
     return {
-        "p99_alike": p99(alike),
+        "p99_alike": p99(equal),
         "p99_one_slow": p99(slow),
-        "ratio": p99(slow) / p99(alike),
-        **outcomes(slow),
+        "ratio": p99(slow) / p99(equal),
+        **count_outcomes(slow),
     }
 
 
 def main(argv: list[str]) -> int:
-    """Run the benchmark."""
+    """Run the benchmark and return the exit code."""
     arguments = make_parser("routing", __doc__).parse_args(argv)
     rate = LOAD_SHARE * capacity(arguments)
     with serving(arguments) as bench:
-        ours = compare(bench, rate)
+        measured = compare(bench, rate)
     with serving(arguments, **BASELINE) as bench:
-        random = compare(bench, rate)
-    print_result({"rate": rate, "ours": ours, "random": random})
+        baseline = compare(bench, rate)
+    print_result({"rate": rate, "ours": measured, "random": baseline})
     return 0
--- a/src/bench/serving.py
+++ b/src/bench/serving.py
@@ -1,4 +1,4 @@
-"""What the benchmarks of routing, fairness and overload share."""
+"""Shared deployment of the routing, fairness and overload benchmarks."""
 
 from argparse import ArgumentParser, Namespace
 from collections.abc import Iterator, Sequence
@@ -13,17 +13,20 @@
 from ridgecourse_standins.cluster import FLEET, MODEL_SERVICE, Cluster, Plan
 from ridgecourse_standins.models import make_version
 
-SIZE = 256 * 1024
+VERSION_BYTES = 256 * 1024
+"""Size of the model version, in bytes."""
 STEP_SECONDS = 0.0095
 SETTLE_SECONDS = 3.0
+"""Time from the start of the load until answers are counted."""
 BASELINE = {
     "entry_module": "bench.baseline_entry",
     "agent_module": "bench.baseline_agent",
 }
+"""Plan options that run the baseline entry and agent."""
 
 
 def make_parser(name: str, description: str | None) -> ArgumentParser:
-    """Return the parser of a serving benchmark's arguments."""
+    """Return the argument parser of a serving benchmark."""
     parser = ArgumentParser(prog=f"python -m bench {name}", description=description)
     parser.add_argument("--engines", type=int, default=6)
     parser.add_argument("--slots", type=int, default=4)
@@ -33,14 +36,20 @@
 
 
 def capacity(arguments: Namespace) -> float:
-    """Return the requests a second that the engines can serve."""
-    growth = 1 + 0.01 * (arguments.slots - 1)
-    seconds = (arguments.tokens + 2) * STEP_SECONDS * growth
+    """Return the estimated capacity of the engines, in requests per second."""
+    batch_slowdown = 1 + 0.01 * (arguments.slots - 1)
+    seconds = (arguments.tokens + 2) * STEP_SECONDS * batch_slowdown
     return arguments.engines * arguments.slots / seconds
 
 
-class Bench:
-    """A served model and its callers."""
+class ServingBench:
+    """Deployment that serves a model, with a client.
+
+    Attributes:
+        cluster: The deployment.
+        arguments: Arguments of the benchmark.
+        caller: Client that sends single requests and provides the entries.
+    """
 
     def __init__(self, cluster: Cluster, arguments: Namespace) -> None:
         self.cluster = cluster
@@ -48,13 +57,13 @@
         self.caller = Caller([], FLEET, "")
 
     def set_up(self) -> None:
-        """Serve a small model."""
+        """Publish a small version and wait until all targets serve the version."""
         cluster = self.cluster
         cluster.set_up()
         self.caller.key = cluster.account("bench")
         self.caller.entries = [node.http for node in cluster.entries]
         directory = cluster.models / "m-v1"
-        make_version(directory, SIZE, 1)
+        make_version(directory, VERSION_BYTES, 1)
         manifest = make_manifest(directory, 64 * 1024, lambda _: None).unwrap()
         write_manifest(directory, manifest)
         root = self.caller.know(directory)
@@ -64,7 +73,7 @@
             version="v1",
             root_digest=root,
             origin_path="m-v1",
-            total_bytes=SIZE,
+            total_bytes=VERSION_BYTES,
         )
         cluster.change("Place", service=MODEL_SERVICE, model="m", version="v1")
         cluster.wait_serving(root)
@@ -73,9 +82,13 @@
     def measure(
         self, rates: dict[str, float], **options: Any
     ) -> dict[str, list[Answer]]:
-        """Send each account's requests at its rate; return answers by account.
+        """Send requests for each account and return the answers by account.
+
+        Requests sent in the first ``SETTLE_SECONDS`` are not counted.
 
-        Answers to what was sent before the system settled are left out.
+        Args:
+            rates: Request rate of each account, in requests per second.
+            options: Further options of the load generators.
         """
         loads = {}
         for account, rate in rates.items():
@@ -91,20 +104,24 @@
             )
         for load in loads.values():
             load.start()
-        began = monotonic() + SETTLE_SECONDS
+        counted_from = monotonic() + SETTLE_SECONDS
         sleep(SETTLE_SECONDS + self.arguments.seconds)
-        ended = monotonic()
+        counted_until = monotonic()
         for load in loads.values():
             load.close()
         return {
-            account: [a for a in load.caller.history if began <= a.sent < ended]
+            account: [
+                answer
+                for answer in load.caller.history
+                if counted_from <= answer.sent < counted_until
+            ]
             for account, load in loads.items()
         }
 
 
 @contextmanager
-def serving(arguments: Namespace, **plan: Any) -> Iterator[Bench]:
-    """Run a deployment with a served model."""
+def serving(arguments: Namespace, **plan: Any) -> Iterator[ServingBench]:
+    """Run a deployment that serves a model; ``plan`` overrides options of the plan."""
     cluster = Cluster(
         Plan(
             domains=("a",),
@@ -118,7 +135,7 @@
     )
     try:
         with cluster:
-            bench = Bench(cluster, arguments)
+            bench = ServingBench(cluster, arguments)
             bench.set_up()
             yield bench
     finally:
@@ -126,17 +143,21 @@
 
 
 def p99(answers: Sequence[Answer]) -> float:
-    """Return the 99th percentile of the completed answers' times, in seconds."""
-    return quantile([a.seconds for a in answers if a.outcome == "completed"], 0.99)
+    """Return the 99th percentile of the latency of completed answers, in seconds."""
+    return quantile(
+        [answer.seconds for answer in answers if answer.outcome == "completed"], 0.99
+    )
 
 
-def outcomes(answers: Sequence[Answer]) -> dict[str, int]:
-    """Return how many answers had each outcome, and how many were wrong."""
+def count_outcomes(answers: Sequence[Answer]) -> dict[str, int]:
+    """Return the number of answers by outcome and reason, and of incorrect answers."""
     counts = {"completed": 0, "not-run": 0, "unknown": 0}
     for answer in answers:
         counts[answer.outcome] += 1
     for answer in answers:
         if answer.outcome != "completed" and answer.reason:
             counts[answer.reason] = counts.get(answer.reason, 0) + 1
-    counts["wrong"] = sum(a.outcome == "completed" and not a.whole for a in answers)
+    counts["wrong"] = sum(
+        answer.outcome == "completed" and not answer.whole for answer in answers
+    )
     return counts
