--- a/src/bench/config.py
+++ b/src/bench/config.py
@@ -42,7 +42,7 @@
         events_by_process.append(events)
     return [
         max(
-            min(time for end, time in events if end > offset)
+            min(time for next_offset, time in events if next_offset > offset)
             for events in events_by_process
         )
         - accepted_at
@@ -68,14 +68,14 @@
         with cluster:
             cluster.set_up()
             sleep(SETTLE_SECONDS)
-            times = propagation_times(cluster, apply_changes(cluster))
+            times = propagation_times(cluster, submit_and_wait(cluster))
             print_result(summarize(cluster, times))
     finally:
         rmtree(cluster.directory, ignore_errors=True)
     return 0
 
 
-def apply_changes(cluster: Cluster) -> list[tuple[int, float]]:
+def submit_and_wait(cluster: Cluster) -> list[tuple[int, float]]:
     """Submit the changes and wait until every process has applied them."""
     accepted = submit_changes(cluster)
     end_offset = accepted[-1][0] + 1
--- a/src/bench/control.py
+++ b/src/bench/control.py
@@ -88,11 +88,11 @@
         )
         record = ChangeRecord(ChangeId(f"far-{number}"), "bench", change)
         records.append(encode_message(record))
-    for first in range(0, len(records), 500):
+    for batch_start in range(0, len(records), 500):
         cluster.pool.request(
             "POST",
             f"http://{cluster.addresses['log']}/streams/config/records",
-            body=cbor2.dumps(records[first : first + 500]),
+            body=cbor2.dumps(records[batch_start : batch_start + 500]),
         )
 
 
--- a/src/bench/fairness.py
+++ b/src/bench/fairness.py
@@ -13,7 +13,7 @@
     count_outcomes,
     make_parser,
     p99,
-    serving,
+    serving_deployment,
 )
 from ridgecourse_standins.caller import Answer
 
@@ -47,16 +47,18 @@
     for name in [*names, "large"]:
         bench.cluster.account(name)
     rates = dict.fromkeys(names, SMALL_SHARE * max_rate)
-    isolated = answers_to_small_accounts(bench.measure(rates, deadline=DEADLINE))
+    isolated_answers = answers_to_small_accounts(
+        bench.measure(rates, deadline=DEADLINE)
+    )
     answers = bench.measure(
         {**rates, "large": LARGE_SHARE * max_rate}, deadline=DEADLINE
     )
-    small = answers_to_small_accounts(answers)
+    small_answers = answers_to_small_accounts(answers)
     return {
-        "p99_alone": p99(isolated),
-        "p99_flooded": p99(small),
-        "ratio": p99(small) / p99(isolated),
-        "small": count_outcomes(small),
+        "p99_alone": p99(isolated_answers),
+        "p99_flooded": p99(small_answers),
+        "ratio": p99(small_answers) / p99(isolated_answers),
+        "small": count_outcomes(small_answers),
         "large": count_outcomes(answers["large"]),
     }
 
@@ -65,9 +67,9 @@
     """Run the benchmark and return the exit code."""
     arguments = make_parser("fairness", __doc__).parse_args(argv)
     max_rate = capacity(arguments)
-    with serving(arguments) as bench:
+    with serving_deployment(arguments) as bench:
         measured = compare(bench, max_rate)
-    with serving(arguments, **BASELINE) as bench:
+    with serving_deployment(arguments, **BASELINE) as bench:
         baseline = compare(bench, max_rate)
     print_result(
         {"capacity": max_rate, "ours": measured, "first_in_first_out": baseline}
--- a/src/bench/idle.py
+++ b/src/bench/idle.py
@@ -137,14 +137,14 @@
         for engine in self.engines:
             engine.start()
         self.heartbeat_thread.start()
-        for process in self.all():
+        for process in self.all_processes():
             process.start()
         for loader in self.processes["loader"]:
             loader.wait_event(
                 "gateways-known", after=len(self.processes["gateway"]) - 1
             )
 
-    def all(self) -> Iterator[Managed]:
+    def all_processes(self) -> Iterator[Managed]:
         """Yield all processes."""
         for processes in self.processes.values():
             yield from processes
@@ -162,7 +162,7 @@
     def close(self) -> None:
         """Stop all processes, the engines and the store."""
         self.stopped.set()
-        for process in self.all():
+        for process in self.all_processes():
             if process.process is not None and self.profile:
                 process.stop()
             process.close()
@@ -173,8 +173,8 @@
 
 def processor_seconds(process: Managed) -> float:
     """Return the processor time that a process has used, in seconds."""
-    text = Path(f"/proc/{process.running.pid}/stat").read_text()
-    user, system = text.rpartition(")")[2].split()[11:13]
+    stat_line = Path(f"/proc/{process.running.pid}/stat").read_text()
+    user, system = stat_line.rpartition(")")[2].split()[11:13]
     return (int(user) + int(system)) / TICKS_PER_SECOND
 
 
@@ -188,7 +188,9 @@
 
 def measure(site: Site, seconds: float) -> Iterator[dict[str, Any]]:
     """Yield, for each role, the processor time per process and minute, in seconds."""
-    before = {process.name: processor_seconds(process) for process in site.all()}
+    before = {
+        process.name: processor_seconds(process) for process in site.all_processes()
+    }
     calls_before, started_at = site.store.calls, monotonic()
     wait_with_progress(seconds)
     minutes = (monotonic() - started_at) / 60.0
@@ -226,8 +228,8 @@
 def main(argv: list[str]) -> int:
     """Run the benchmark and return the exit code."""
     options = parse_options(argv)
-    with TemporaryDirectory() as temporary:
-        directory = options.profile or Path(temporary)
+    with TemporaryDirectory() as temporary_directory:
+        directory = options.profile or Path(temporary_directory)
         directory.mkdir(parents=True, exist_ok=True)
         site = Site(
             directory,
--- a/src/bench/overload.py
+++ b/src/bench/overload.py
@@ -12,7 +12,7 @@
     capacity,
     count_outcomes,
     make_parser,
-    serving,
+    serving_deployment,
 )
 
 OVERLOAD_FACTOR = 2.0
@@ -57,9 +57,9 @@
     """Run the benchmark and return the exit code."""
     arguments = make_parser("overload", __doc__).parse_args(argv)
     max_rate = capacity(arguments)
-    with serving(arguments) as bench:
+    with serving_deployment(arguments) as bench:
         measured = measure(bench, max_rate)
-    with serving(arguments, **BASELINE) as bench:
+    with serving_deployment(arguments, **BASELINE) as bench:
         baseline = measure(bench, max_rate)
     print_result(
         {"capacity": max_rate, "ours": measured, "first_in_first_out": baseline}
--- a/src/bench/placement.py
+++ b/src/bench/placement.py
@@ -166,15 +166,17 @@
         """Dispatch a request to the engine that a gateway chooses, or refuse it."""
         gateway = self.random.choice(self.gateways)
         index, wait = self.choose_engine(gateway, Seconds(now))
-        reading = prompt_seconds(MODEL, request.prompt_tokens)
+        prefill_seconds = prompt_seconds(MODEL, request.prompt_tokens)
         delay, waited = 0.0, 0.0
         if self.policy in ("observed", "spare"):
             delay = gateway.delay.expect(Seconds(now))
         time_left = request.client_timeout - (now - request.arrived)
         if self.policy == "spare":
             waited = gateway.patience.observe(time_left)
-        fill = gateway.loads[index].requests(now, SENDERS) / MODEL.slots
-        prospect = Prospect(request.objective, waited, wait, reading, fill, delay)
+        occupancy = gateway.loads[index].requests(now, SENDERS) / MODEL.slots
+        prospect = Prospect(
+            request.objective, waited, wait, prefill_seconds, occupancy, delay
+        )
         excess = excess_wait(prospect)
         if self.policy != "random" and excess is not None:
             request.refusal_count += 1
@@ -183,8 +185,8 @@
                 self.schedule(retry_at, lambda time: self.send(request, time))
             return
         request.dispatched_at = now
-        request.expected_delay = wait + reading + FIRST_EVENT_SECONDS
-        counted_seconds = 0.0 if self.policy == "count" else reading
+        request.expected_delay = wait + prefill_seconds + FIRST_EVENT_SECONDS
+        counted_seconds = 0.0 if self.policy == "count" else prefill_seconds
         self.senders[id(request)] = gateway
         load = gateway.loads[index]
         load.waiting[str(id(request))] = Pending(Seconds(now), counted_seconds)
@@ -243,7 +245,7 @@
             delay = now - request.dispatched_at - request.expected_delay
             self.senders[id(request)].delay.observe(delay, Seconds(now))
 
-    def make_poll(self, index: int, number: int) -> Callable[[float], None]:
+    def make_poll(self, index: int, poll_number: int) -> Callable[[float], None]:
         """Return the action that polls an engine and reports its load to the gateways.
 
         Gateways in other failure domains get every second report.
@@ -259,9 +261,9 @@
             if self.policy != "count":
                 status = structs.replace(status, unread=unread)
             for gateway in self.gateways:
-                if index % DOMAINS == gateway.domain or number % 2 == 0:
+                if index % DOMAINS == gateway.domain or poll_number % 2 == 0:
                     gateway.loads[index].report(status, Seconds(now))
-            self.schedule(now + LOOK_SECONDS, self.make_poll(index, number + 1))
+            self.schedule(now + LOOK_SECONDS, self.make_poll(index, poll_number + 1))
 
         return poll
 
--- a/src/bench/rollout.py
+++ b/src/bench/rollout.py
@@ -82,9 +82,11 @@
     def publish(self, version: str, seed: int, shared: int = 0) -> str:
         """Create and publish a version and return its root digest."""
         directory = self.cluster.models / f"writer-{version}"
-        base = self.arguments.seed
-        make_version(directory, self.arguments.size, base + seed, 4, base + 1, shared)
-        root = self.write_manifest_of(directory)
+        base_seed = self.arguments.seed
+        make_version(
+            directory, self.arguments.size, base_seed + seed, 4, base_seed + 1, shared
+        )
+        root = self.write_version_manifest(directory)
         self.cluster.change(
             "PublishVersion",
             model="writer",
@@ -95,7 +97,7 @@
         )
         return root
 
-    def write_manifest_of(self, directory: Path) -> str:
+    def write_version_manifest(self, directory: Path) -> str:
         """Write the manifest of a version and return its root digest."""
         chunk_bytes = max(1024, self.arguments.size // self.arguments.chunks)
         manifest = make_manifest(directory, chunk_bytes, lambda _: None).unwrap()
@@ -219,22 +221,24 @@
             uploads.append(
                 status_after[target]["uploaded"] - initial_counters.get("uploaded", 0)
             )
-        origin = cluster.get_json(cluster.addresses["origin"], "/counts")
+        origin_counts = cluster.get_json(cluster.addresses["origin"], "/counts")
         versions = ("writer-v2", "writer-v3")
-        origin_bytes = sum(origin["sent"].get(version, 0) for version in versions)
+        origin_bytes = sum(
+            origin_counts["sent"].get(version, 0) for version in versions
+        )
         times = self.serving_times(root)
-        latest = max(times)
+        slowest = max(times)
         return {
             "instances": arguments.instances,
             "domains": arguments.domains,
             "fault": arguments.fault,
-            "seconds_to_all": latest,
+            "seconds_to_all": slowest,
             "seconds_to_half": quantile(times, 0.5),
             "one_copy_seconds": self.one_copy_seconds,
-            "ratio": latest / self.one_copy_seconds,
+            "ratio": slowest / self.one_copy_seconds,
             "origin_copies": origin_bytes / size,
-            "origin_first": min(origin["first_sent"].values()) - self.placed_at,
-            "origin_last": max(origin["last_sent"].values()) - self.placed_at,
+            "origin_first": min(origin_counts["first_sent"].values()) - self.placed_at,
+            "origin_last": max(origin_counts["last_sent"].values()) - self.placed_at,
             "cross_domain_copies": max(cross_domain_bytes.values()) / size,
             "largest_upload_copies": max(uploads) / size,
             "fetched_twice_copies": sum(
--- a/src/bench/routing.py
+++ b/src/bench/routing.py
@@ -13,7 +13,7 @@
     count_outcomes,
     make_parser,
     p99,
-    serving,
+    serving_deployment,
 )
 
 LOAD_SHARE = 0.5
@@ -26,14 +26,14 @@
 
 def compare(bench: ServingBench, rate: float) -> dict[str, Any]:
     """Return the p99 with equally fast engines and with one slow engine."""
-    equal = bench.measure({"bench": rate})["bench"]
+    equal_answers = bench.measure({"bench": rate})["bench"]
     bench.cluster.fault("engine-a-0", step_seconds=STEP_SECONDS * SLOW_FACTOR)
-    slow = bench.measure({"bench": rate})["bench"]
+    slow_answers = bench.measure({"bench": rate})["bench"]
     return {
-        "p99_alike": p99(equal),
-        "p99_one_slow": p99(slow),
-        "ratio": p99(slow) / p99(equal),
-        **count_outcomes(slow),
+        "p99_alike": p99(equal_answers),
+        "p99_one_slow": p99(slow_answers),
+        "ratio": p99(slow_answers) / p99(equal_answers),
+        **count_outcomes(slow_answers),
     }
 
 
@@ -41,9 +41,9 @@
     """Run the benchmark and return the exit code."""
     arguments = make_parser("routing", __doc__).parse_args(argv)
     rate = LOAD_SHARE * capacity(arguments)
-    with serving(arguments) as bench:
+    with serving_deployment(arguments) as bench:
         measured = compare(bench, rate)
-    with serving(arguments, **BASELINE) as bench:
+    with serving_deployment(arguments, **BASELINE) as bench:
         baseline = compare(bench, rate)
     print_result({"rate": rate, "ours": measured, "random": baseline})
     return 0
--- a/src/bench/serving.py
+++ b/src/bench/serving.py
@@ -120,7 +120,7 @@
 
 
 @contextmanager
-def serving(arguments: Namespace, **plan: Any) -> Iterator[ServingBench]:
+def serving_deployment(arguments: Namespace, **plan: Any) -> Iterator[ServingBench]:
     """Run a deployment that serves a model; ``plan`` overrides options of the plan."""
     cluster = Cluster(
         Plan(
--- a/src/ridgecourse/ctl/arguments.py
+++ b/src/ridgecourse/ctl/arguments.py
@@ -64,7 +64,7 @@
     name: str,
     help: str,
     positionals: Sequence[str],
-    change: bool = True,
+    is_change: bool = True,
 ) -> ArgumentParser:
     """Add a verb and return its parser.
 
@@ -73,13 +73,13 @@
         name: Name of the verb.
         help: Help text of the verb.
         positionals: Names of the positional arguments, in order.
-        change: Whether the verb changes the configuration; if so, the parser gets
+        is_change: Whether the verb changes the configuration; if so, the parser gets
             the options of a change.
     """
     verb = verbs.add_parser(name, help=help)
     for positional in positionals:
         verb.add_argument(positional)
-    if change:
+    if is_change:
         verb.add_argument(
             "--change-id",
             default="",
@@ -99,7 +99,7 @@
     verbs = add_noun(nouns, "fleet", "fleets of targets")
     create = add_verb(verbs, "create", "create or change a fleet", ["fleet"])
     create.add_argument("--origin-copies", type=int, default=1)
-    add_verb(verbs, "show", "show a fleet's configuration", ["fleet"], change=False)
+    add_verb(verbs, "show", "show a fleet's configuration", ["fleet"], is_change=False)
 
 
 def add_service(nouns: Subparsers) -> None:
@@ -132,14 +132,14 @@
         "show",
         "show the progress of each target",
         service_positionals,
-        change=False,
+        is_change=False,
     )
     watch = add_verb(
         verbs,
         "watch",
         "follow a rollout until it is complete",
         service_positionals,
-        change=False,
+        is_change=False,
     )
     watch.add_argument(
         "--timeout", type=float, default=3600.0, help="timeout in seconds"
@@ -187,4 +187,6 @@
 def add_change(nouns: Subparsers) -> None:
     """Add the verbs for changes."""
     verbs = add_noun(nouns, "change", "outcomes of changes")
-    add_verb(verbs, "show", "show the outcome of a change", ["change_id"], change=False)
+    add_verb(
+        verbs, "show", "show the outcome of a change", ["change_id"], is_change=False
+    )
--- a/src/ridgecourse/ctl/client.py
+++ b/src/ridgecourse/ctl/client.py
@@ -46,16 +46,16 @@
         self,
         method: str,
         request: Message[Any],
-        reply: type[ReplyT],
-        seconds: float = 10.0,
+        reply_type: type[ReplyT],
+        timeout: float = 10.0,
     ) -> Result[ReplyT, CallFailure]:
         """Call a method and return its reply or the failure.
 
         Args:
             method: Name of the method in the schema.
             request: Request message.
-            reply: Type of the reply message.
-            seconds: Time allowed for the call; the HTTP request times out
+            reply_type: Type of the reply message.
+            timeout: Time allowed for the call, in seconds; the HTTP request times out
                 ``CALL_GRACE_SECONDS`` later.
         """
         headers = {
@@ -69,7 +69,7 @@
                 f"{SERVICE_PATH}{method}",
                 request.to_binary(),
                 headers,
-                seconds + CALL_GRACE_SECONDS,
+                timeout + CALL_GRACE_SECONDS,
             )
         except NoConnection as error:
             return Failure(CallFailure(f"no connection: {error}", maybe_executed=False))
@@ -79,13 +79,13 @@
             return Failure(
                 CallFailure(describe_error(status, data), maybe_executed=False)
             )
-        return Success(reply.from_binary(data))
+        return Success(reply_type.from_binary(data))
 
     def change(
-        self, method: str, request: Message[Any], seconds: float
+        self, method: str, request: Message[Any], timeout: float
     ) -> Result[pb.ChangeReply, CallFailure]:
         """Call a method that changes the configuration."""
-        return self.call(method, request, pb.ChangeReply, seconds)
+        return self.call(method, request, pb.ChangeReply, timeout)
 
 
 def describe_error(status: int, data: bytes) -> str:
--- a/src/ridgecourse/ctl/main.py
+++ b/src/ridgecourse/ctl/main.py
@@ -13,19 +13,19 @@
 def main(arguments: list[str] | None = None) -> int:
     """Execute one verb and return the exit code."""
     parser = make_parser()
-    parsed = parser.parse_args(arguments)
-    output = Output(parsed.json)
+    options = parser.parse_args(arguments)
+    output = Output(options.json)
     try:
-        address = str(parse_address(parsed.entry))
+        address = str(parse_address(options.entry))
     except ValueError as error:
         output.error(f"--entry: {error}", "pass the address of an entry as HOST:PORT")
         return EXIT_USAGE
-    if parsed.check:
+    if options.check:
         return EXIT_OK
-    if parsed.noun is None:
+    if options.noun is None:
         parser.print_help(sys.stderr)
         return EXIT_USAGE
-    return Commands(AdminClient(address, parsed.token), output).run(parsed)
+    return Commands(AdminClient(address, options.token), output).run(options)
 
 
 if __name__ == "__main__":
--- a/src/ridgecourse/native/log.py
+++ b/src/ridgecourse/native/log.py
@@ -18,9 +18,9 @@
 from ridgecourse.net.http_client import ExchangeFailed, HttpClient, NoConnection
 from ridgecourse.wire.codec import decode_message
 
-MAX_BATCH_BYTES = 64 * 1024 * 1024
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 """Maximum length of a response body, in bytes."""
-READ_LIMIT = 500
+DEFAULT_READ_LIMIT = 500
 """Default maximum number of records per read."""
 READ_GRACE_SECONDS = 1.5
 """Time, in seconds, by which a long poll may exceed its wait before it times out."""
@@ -118,7 +118,7 @@
         stream: Stream,
         start: int,
         wait: float = 0.0,
-        limit: int = READ_LIMIT,
+        limit: int = DEFAULT_READ_LIMIT,
     ) -> LogBatch:
         """Return the records of a stream from an offset onwards.
 
@@ -164,7 +164,12 @@
     ) -> tuple[int, bytes]:
         try:
             status, data, _ = self.http.fetch(
-                method, self.address, path, body, timeout=timeout, limit=MAX_BATCH_BYTES
+                method,
+                self.address,
+                path,
+                body,
+                timeout=timeout,
+                limit=MAX_RESPONSE_BYTES,
             )
         except (NoConnection, ExchangeFailed) as error:
             raise LogUnavailable(str(error)) from error
--- a/src/ridgecourse/timeline/main.py
+++ b/src/ridgecourse/timeline/main.py
@@ -53,30 +53,30 @@
 
 def main(arguments: list[str] | None = None) -> int:
     """Print or write a timeline and return the exit code."""
-    parsed = make_parser().parse_args(arguments)
-    missing = [path for path in parsed.streams if not path.is_file()]
+    options = make_parser().parse_args(arguments)
+    missing = [path for path in options.streams if not path.is_file()]
     for path in missing:
         print(f"error: {path}: no such file", file=sys.stderr)
     if missing:
         return EXIT_USAGE
-    merged = merge_streams(parsed.streams)
+    merged = merge_streams(options.streams)
     if merged.skipped:
         print(
             f"skipped {merged.skipped} lines that are not valid events", file=sys.stderr
         )
-    if parsed.check:
+    if options.check:
         return EXIT_OK
     event_filter = EventFilter(
-        parsed.request,
-        parsed.change,
-        parsed.target,
-        parsed.root,
-        parsed.kind,
-        parsed.process,
+        options.request,
+        options.change,
+        options.target,
+        options.root,
+        options.kind,
+        options.process,
     )
     events = list(filter_events(merged.events, event_filter))
-    if parsed.html is not None:
-        parsed.html.write_text(html_page(events), encoding="utf-8")
+    if options.html is not None:
+        options.html.write_text(html_page(events), encoding="utf-8")
     else:
         print_text(events, Console(highlight=False))
     return EXIT_OK
