--- a/src/ridgecourse_standins/__init__.py
+++ b/src/ridgecourse_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems outside ridgecourse, for the demo, tests and benchmarks."""
+"""Test doubles of the systems outside ridgecourse: demo, tests and benchmarks."""
--- a/src/ridgecourse_standins/caller.py
+++ b/src/ridgecourse_standins/caller.py
@@ -1,4 +1,8 @@
-"""A caller that checks every answer against the weights, and keeps a history."""
+"""A client that checks every answer against the model weights and keeps a history.
+
+Tests, the demo and benchmarks use the client to find answers that were computed with
+partial or mixed weights.
+"""
 
 import json
 from collections.abc import Sequence
@@ -19,19 +23,20 @@
 
 
 class Answer(NamedTuple):
-    """What a caller got for one request.
+    """Result of one request, as the client observed it.
 
     Attributes:
-        outcome: As told, or "unknown" where the connection broke.
-        reason: As told.
-        whole: Whether a completed answer is all that it must be.
-        seconds: From sending to the end.
-        version: Root digest that answered.
-        body: The request's body.
-        status: HTTP status, 0 if there was none.
-        retry_after: As told, empty if not.
-        first_token: Seconds to the first token.
-        sent: When it was sent, monotonic.
+        outcome: The outcome that the entry reported; "unknown" if the connection
+            broke, "not-run" if the connection was never established.
+        reason: The reason that the entry reported, or the connection error.
+        correct: Whether the request completed with exactly the expected answer.
+        seconds: Time from sending the request to the end of the answer.
+        version: Root digest of the version that computed the answer.
+        body: Body of the request.
+        status: HTTP status; 0 if there was no response.
+        retry_after: Value of the Retry-After header; empty if absent.
+        first_token_seconds: Time from sending to the first bytes of the answer.
+        sent_at: Monotonic time at which the request was sent.
     """
 
     outcome: str
@@ -42,17 +47,18 @@
     body: str
     status: int
     retry_after: str
-    first_token: float
+    first_token_seconds: float
     sent: float
     account: str = ""
 
 
 class Caller:
-    """Sends requests to entries and checks the answers.
+    """Sends requests to entries and checks the answers against known weights.
 
     Attributes:
-        known: Weights by root digest.
-        history: All answers.
+        weights_by_root: Weights of the versions that can be checked, by root digest.
+        history: Results of all requests, in the order in which they ended.
+        sent_count: Requests sent so far; selects the entry of the next request.
     """
 
     def __init__(self, entries: Sequence[str], fleet: str, key: str) -> None:
@@ -62,10 +68,10 @@
         self.pool = PoolManager(num_pools=64, maxsize=256, retries=False)
         self.known: dict[str, Weights] = {}
         self.history: list[Answer] = []
-        self.sent = 0
+        self.sent_count = 0
 
     def know(self, directory: Path) -> str:
-        """Read a version's weights for checking; return its root digest."""
+        """Read the weights of a version to check answers; return its root digest."""
         root = root_digest((directory / "manifest.json").read_bytes())
         self.known[root] = read_weights(directory)
         return root
@@ -80,9 +86,19 @@
         deadline: float = 10.0,
         account_key: str = "",
     ) -> Answer:
-        """Send one request and return its checked answer."""
-        self.sent += 1
-        index = self.sent if entry is None else entry
+        """Send one request and return the checked result.
+
+        Args:
+            service: Service that the request is for.
+            body: Body of the request.
+            entry: Index of the entry; None to use the entries in turn.
+            repeatable: Whether the request may be run more than once.
+            key: Idempotency key; empty for none.
+            deadline: Time limit of the request, in seconds.
+            account_key: API key of the account; empty for the key of the client.
+        """
+        self.sent_count += 1
+        index = self.sent_count if entry is None else entry
         address = self.entries[index % len(self.entries)]
         headers = {
             "Authorization": f"Bearer {account_key or self.key}",
@@ -103,11 +119,11 @@
         headers: dict[str, str],
         deadline: float,
     ) -> Answer:
-        begun = monotonic()
-        first = 0.0
-        status, outcome, reason, version, after = 0, "unknown", "", "", ""
+        started_at = monotonic()
+        first_token = 0.0
+        status, outcome, reason, version, retry_after = 0, "unknown", "", "", ""
         lines: list[bytes] = []
-        whole = False
+        correct = False
         try:
             response = self.pool.request(
                 "POST",
@@ -120,27 +136,36 @@
             status = response.status
             outcome = response.headers.get("Ridgecourse-Outcome", "unknown")
             reason = response.headers.get("Ridgecourse-Reason", "")
-            after = response.headers.get("Retry-After", "")
+            retry_after = response.headers.get("Retry-After", "")
             stream = b""
-            while piece := response.read1(65536):
-                first = first or monotonic() - begun
-                stream += piece
+            while block := response.read1(65536):
+                first_token = first_token or monotonic() - started_at
+                stream += block
             response.release_conn()
             lines = stream.splitlines()
             if "ndjson" in response.headers.get("Content-Type", ""):
-                outcome, version, whole = self.check_stream(lines, body)
+                outcome, version, correct = self.check_stream(lines, body)
             else:
-                whole = outcome == "completed"
+                correct = outcome == "completed"
         except (HTTPError, OSError) as error:
             reason = f"connection: {type(error).__name__}"
             outcome = "not-run" if "NewConnection" in repr(error) else "unknown"
-        took = monotonic() - begun
+        elapsed = monotonic() - started_at
         return Answer(
-            outcome, reason, whole, took, version, body, status, after, first, begun
+            outcome,
+            reason,
+            correct,
+            elapsed,
+            version,
+            body,
+            status,
+            retry_after,
+            first_token,
+            started_at,
         )
 
     def check_stream(self, lines: list[bytes], body: str) -> tuple[str, str, bool]:
-        """Return outcome, version and whether a streamed answer is right."""
+        """Return the outcome, the version and whether a streamed answer is correct."""
         events = [json.loads(line) for line in lines]
         if not events or not events[-1].get("end"):
             return "unknown", "", False
@@ -158,15 +183,19 @@
 
 
 def prompt_body(tokens: int = 8, prompt: str = "") -> str:
-    """Return a request body that no other request has."""
+    """Return a request body; without a prompt, a random one makes the body unique."""
     return json.dumps({"prompt": prompt or uuid4().hex, "max_tokens": tokens})
 
 
 class Load:
-    """Sends requests at a steady rate from threads, until stopped.
+    """Sends requests at a constant rate from a pool of threads until stopped.
 
     Attributes:
-        caller: Sends and keeps the history.
+        client: Sends the requests and keeps the history.
+        rate: Requests per second.
+        due_times: Monotonic send times of the requests that no thread has taken yet;
+            None ends a thread.
+        clock: Thread that queues the send times.
     """
 
     def __init__(
@@ -183,32 +212,34 @@
         self.options = options
         self.tokens = options.pop("tokens", 8)
         self.stopped = Event()
-        self.due: Queue[float | None] = Queue()
-        self.threads = [Thread(target=self._work, daemon=True) for _ in range(workers)]
-        self.clock = Thread(target=self._tick, daemon=True)
+        self.due_times: Queue[float | None] = Queue()
+        self.threads = [
+            Thread(target=self._send_requests, daemon=True) for _ in range(workers)
+        ]
+        self.clock = Thread(target=self._schedule, daemon=True)
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending."""
         for thread in [*self.threads, self.clock]:
             thread.start()
 
-    def _tick(self) -> None:
+    def _schedule(self) -> None:
         due = monotonic()
         while not self.stopped.is_set():
-            self.due.put(due)
+            self.due_times.put(due)
             due += 1.0 / self.rate
             sleep(max(0.0, due - monotonic()))
 
-    def _work(self) -> None:
-        while self.due.get() is not None and not self.stopped.is_set():
+    def _send_requests(self) -> None:
+        while self.due_times.get() is not None and not self.stopped.is_set():
             body = prompt_body(self.tokens)
             self.caller.send(self.service, body, **self.options)
 
     def close(self) -> None:
-        """Send no more, and wait for what is under way."""
+        """Stop sending and wait for the requests in flight."""
         self.stopped.set()
         self.clock.join()
         for _ in self.threads:
-            self.due.put(None)
+            self.due_times.put(None)
         for thread in self.threads:
             thread.join(60.0)
--- a/src/ridgecourse_standins/cluster.py
+++ b/src/ridgecourse_standins/cluster.py
@@ -1,4 +1,8 @@
-"""A whole deployment on loopback: stand-ins, entries and agents as processes."""
+"""Starts a complete deployment on loopback: stand-ins, entries and agents.
+
+Each of them runs as a process of its own. Tests, the demo and benchmarks start
+deployments, set faults in the stand-ins and partition the failure domains.
+"""
 
 import json
 from collections.abc import Callable, Iterator
@@ -24,24 +28,25 @@
 
 
 class Plan(NamedTuple):
-    """What a deployment consists of.
+    """The processes and settings of a deployment.
 
     Attributes:
         domains: Names of the failure domains.
-        entries: Entries in each domain.
-        targets: Model targets in each domain.
-        plain: Plain targets in the first domain.
-        origin_rate: Bytes a second of the origin's link; None for no limit.
-        agent: Settings that every agent gets besides its own.
-        entry: Settings that every entry gets besides its own.
-        slots: Requests that an engine runs at once.
-        step_seconds: Length of an engine's step.
+        entries: Number of entries in each domain.
+        targets: Number of model targets in each domain.
+        plain: Number of plain targets in the first domain.
+        origin_rate: Bandwidth of the origin's link in bytes per second; None for no
+            limit.
+        agent: Additional settings of every agent.
+        entry: Additional settings of every entry.
+        slots: Maximum number of requests that an engine runs at once.
+        step_seconds: Duration of a step of an engine.
         fenced: Whether engines refuse old fencing tokens.
-        relayed: Whether all that crosses a domain's border goes through relays,
-            so that it can be cut.
-        entry_module: Program of the entries; benchmarks run baselines instead.
-        agent_module: The same of the agents.
-        engines_per_process: Engines that share one process, to save memory.
+        relayed: Whether connections between domains go through relays, so that tests
+            can cut them.
+        entry_module: Python module that entries run; benchmarks run baselines instead.
+        agent_module: Python module that agents run; benchmarks run baselines instead.
+        engines_per_process: Number of engines that share a process, to save memory.
         origin_copies: Copies of a version that the origin may send.
     """
 
@@ -63,7 +68,7 @@
 
 
 class Node(NamedTuple):
-    """An entry or agent with its settings."""
+    """An entry or agent: its process, failure domain and settings."""
 
     managed: Managed
     domain: str
@@ -71,16 +76,24 @@
 
     @property
     def http(self) -> str:
-        """Return the address of its HTTP server."""
+        """Return the address of the HTTP server of this process."""
         return self.settings["http"]
 
 
 class Cluster:
-    """Starts, reaches and ends a deployment.
+    """Starts, controls and ends a deployment.
 
     Attributes:
-        directory: Where settings, events and logs stand.
-        models: Where versions stand, one directory each.
+        plan: The processes to start, and settings of them.
+        directory: Directory of the settings, events and logs.
+        models: Directory with one subdirectory for each version.
+        pool: HTTP connections to the processes.
+        standins: Processes of the stand-ins without the engines, by name.
+        addresses: Addresses of all stand-ins, by name.
+        entries: The entries.
+        agents: The agents.
+        engines: Processes of the engines, by target.
+        routes: Relayed addresses as side, listening address and forwarding address.
     """
 
     def __init__(self, plan: Plan, directory: Path | None = None) -> None:
@@ -97,7 +110,7 @@
         self.routes: list[tuple[str, str, str]] = []
 
     def start(self) -> None:
-        """Start everything; returns once all processes listen."""
+        """Start all processes and wait until every process listens."""
         self._start_standins()
         self._make_entries()
         self._make_agents()
@@ -126,18 +139,20 @@
         self.close()
 
     def processes(self) -> Iterator[Managed]:
-        """Yield every process."""
+        """Yield every process of the deployment."""
         for node in [*self.entries, *self.agents]:
             yield node.managed
         yield from self.engines.values()
         yield from self.standins.values()
 
-    def standin(self, name: str, module: str, *arguments: str) -> Managed:
+    def start_standin(self, name: str, module: str, *arguments: str) -> Managed:
         """Start a stand-in on a free port."""
-        return self.shared_standin([name], module, *arguments)
+        return self.start_shared_standin([name], module, *arguments)
 
-    def shared_standin(self, names: list[str], module: str, *arguments: str) -> Managed:
-        """Start several stand-ins of a kind as one process."""
+    def start_shared_standin(
+        self, names: list[str], module: str, *arguments: str
+    ) -> Managed:
+        """Start several stand-ins of one kind in one process."""
         addresses = {name: free_address() for name in names}
         listen = ",".join(addresses.values())
         command = ["-m", f"ridgecourse_standins.{module}", "--listen", listen]
@@ -149,15 +164,15 @@
     def _start_standins(self) -> None:
         rate = self.plan.origin_rate
         limit = [] if rate is None else ["--rate", str(rate)]
-        self.standins["log"] = self.standin("log", "log")
-        self.standins["origin"] = self.standin(
+        self.standins["log"] = self.start_standin("log", "log")
+        self.standins["origin"] = self.start_standin(
             "origin", "origin", str(self.models), *limit
         )
-        self.standins["instances"] = self.standin("instances", "instances")
+        self.standins["instances"] = self.start_standin("instances", "instances")
         for managed in self.standins.values():
             managed.wait_listening()
 
-    def _node(
+    def _make_node(
         self, role: str, name: str, domain: str, settings: dict[str, Any]
     ) -> Node:
         path = self.directory / f"{name}.json"
@@ -173,15 +188,17 @@
             for number in range(self.plan.entries)
         ]
         addresses = {name: free_address() for name, _ in names}
-        outside = {name: self.relay(domain, addresses[name]) for name, domain in names}
+        reachable = {
+            name: self.add_relay(domain, addresses[name]) for name, domain in names
+        }
         for name, domain in names:
-            peers = [address for other, address in outside.items() if other != name]
+            peers = [address for other, address in reachable.items() if other != name]
             settings = {
                 "process": name,
                 "domain": domain,
                 "http": addresses[name],
-                "log": self.relay("platform", self.addresses["log"]),
-                **self.source_of(domain),
+                "log": self.add_relay("platform", self.addresses["log"]),
+                **self.source_settings(domain),
                 "peers": peers,
                 "shared_key": SHARED_KEY,
                 "operators": [
@@ -193,7 +210,7 @@
                 ],
                 **self.plan.entry,
             }
-            self.entries.append(self._node("entry", name, domain, settings))
+            self.entries.append(self._make_node("entry", name, domain, settings))
 
     def _make_agents(self) -> None:
         self._start_engines()
@@ -212,10 +229,12 @@
             for domain in self.plan.domains
             for number in range(self.plan.targets)
         ]
-        share = self.plan.engines_per_process
-        for start in range(0, len(names), share):
-            group = names[start : start + share]
-            managed = self.shared_standin(group, "engine", *self._engine_arguments())
+        group_size = self.plan.engines_per_process
+        for start in range(0, len(names), group_size):
+            group = names[start : start + group_size]
+            managed = self.start_shared_standin(
+                group, "engine", *self._engine_arguments()
+            )
             for name in group:
                 self.engines[name.removeprefix("engine-")] = managed
 
@@ -225,13 +244,25 @@
         return options if plan.fenced else [*options, "--ignore-tokens"]
 
     def add_agent(self, target: str, domain: str, kind: str) -> Node:
-        """Prepare, but do not start, an agent; start its engine if need be."""
+        """Prepare an agent without starting the agent.
+
+        The plain target is started too, and so is the engine of a model target unless
+        it is already running.
+
+        Args:
+            target: Name of the target.
+            domain: Failure domain of the agent.
+            kind: "model" or "plain".
+
+        Returns:
+            The agent, not started.
+        """
         name = f"engine-{target}"
         if kind == "plain":
-            self.engines[target] = self.standin(name, "plain")
+            self.engines[target] = self.start_standin(name, "plain")
         elif target not in self.engines:
             arguments = self._engine_arguments()
-            self.engines[target] = self.standin(name, "engine", *arguments)
+            self.engines[target] = self.start_standin(name, "engine", *arguments)
         settings = {
             "process": f"agent-{target}",
             "domain": domain,
@@ -239,9 +270,9 @@
             "target": target,
             "http": free_address(),
             "control": free_address(),
-            "log": self.relay("platform", self.addresses["log"]),
-            "origin": self.relay("platform", self.addresses["origin"]),
-            **self.source_of(domain),
+            "log": self.add_relay("platform", self.addresses["log"]),
+            "origin": self.add_relay("platform", self.addresses["origin"]),
+            **self.source_settings(domain),
             "engine": {
                 "address": self.addresses[name],
                 "kind": kind,
@@ -251,22 +282,32 @@
             "shared_key": SHARED_KEY,
             **self.plan.agent,
         }
-        self.relay(domain, settings["http"])
-        self.relay(domain, settings["control"])
-        node = self._node("agent", f"agent-{target}", domain, settings)
+        self.add_relay(domain, settings["http"])
+        self.add_relay(domain, settings["control"])
+        node = self._make_node("agent", f"agent-{target}", domain, settings)
         self.agents.append(node)
         return node
 
-    # Cutting domains off.
+    # Partitions between domains.
 
-    def source_of(self, domain: str) -> dict[str, str]:
-        """Return the setting by which relays know a domain's processes."""
+    def source_settings(self, domain: str) -> dict[str, str]:
+        """Return the setting by which relays identify the processes of a domain.
+
+        Relays identify the domain of a connection by its source address.
+        """
         if not self.plan.relayed:
             return {}
         return {"source": f"127.0.{1 + self.plan.domains.index(domain)}.1"}
 
-    def relay(self, side: str, address: str) -> str:
-        """Return the address by which others reach a process."""
+    def add_relay(self, side: str, address: str) -> str:
+        """Return the address at which other processes reach a process.
+
+        In a relayed deployment, a relay is added that listens at the returned address.
+
+        Args:
+            side: Domain of the process, or "platform".
+            address: Address at which the process listens.
+        """
         if not self.plan.relayed:
             return address
         listen = free_address()
@@ -274,27 +315,30 @@
         return listen
 
     def _start_relays(self) -> None:
-        sides = {self.source_of(d)["source"]: d for d in self.plan.domains}
-        self.standins["relay"] = self.standin("relay", "relay")
+        sides = {
+            self.source_settings(domain)["source"]: domain
+            for domain in self.plan.domains
+        }
+        self.standins["relay"] = self.start_standin("relay", "relay")
         self.standins["relay"].wait_listening()
         routes = {"sides": sides, "routes": self.routes}
         self.post_json(self.addresses["relay"], "/routes", routes)
 
     def cut(self, *pairs: tuple[str, str]) -> None:
-        """Let nothing pass between pairs of sides; without pairs, heal all."""
+        """Cut the connections between pairs of sides; without pairs, heal all cuts."""
         self.post_json(self.addresses["relay"], "/cuts", pairs)
 
-    # Reaching processes.
+    # Calls to processes.
 
     def get_json(self, address: str, path: str) -> Any:
-        """Return the JSON that a process answers with."""
+        """Send a GET request to a process and return the JSON reply."""
         reply = self.pool.request("GET", f"http://{address}{path}", timeout=10.0)
         return json.loads(reply.data)
 
     def post_json(
         self, address: str, path: str, value: Any, headers: dict[str, str] | None = None
     ) -> Any:
-        """Send JSON and return the JSON answered."""
+        """Send JSON to a process and return the JSON reply, None if it is empty."""
         reply = self.pool.request(
             "POST",
             f"http://{address}{path}",
@@ -305,11 +349,11 @@
         return json.loads(reply.data) if reply.data else None
 
     def fault(self, name: str, **values: Any) -> None:
-        """Set faults of a stand-in."""
+        """Set faults of the named stand-in."""
         self.post_json(self.addresses[name], "/faults", values)
 
     def admin(self, method: str, entry: int = 0, **fields: Any) -> dict[str, Any]:
-        """Make an administration call and return its reply."""
+        """Call an administration method at an entry and return the reply."""
         return self.post_json(
             self.entries[entry].http,
             f"/ridgecourse.wire.Admin/{method}",
@@ -318,14 +362,18 @@
         )
 
     def change(self, method: str, entry: int = 0, **fields: Any) -> dict[str, Any]:
-        """Make a change that must be accepted."""
+        """Make a change and return the reply.
+
+        Raises:
+            ProcessFailed: The change was not accepted.
+        """
         reply = self.admin(method, entry, fleet=FLEET, **fields)
         if reply.get("status") != "CHANGE_STATUS_ACCEPTED":
             raise ProcessFailed(f"{method} was not accepted: {reply}")
         return reply
 
     def set_up(self) -> None:
-        """Create fleet, services and targets."""
+        """Create the fleet and the services and join all targets."""
         self.change("CreateFleet", origin_copies=self.plan.origin_copies)
         self.change("PutService", service=MODEL_SERVICE, kind="model")
         self.change("PutService", service=PLAIN_SERVICE, kind="plain")
@@ -333,67 +381,80 @@
             self.join(node)
 
     def join(self, node: Node) -> None:
-        """Join an agent's target to its service."""
+        """Join the target of an agent to the service of its kind."""
         plain = node.settings["engine"]["kind"] == "plain"
         self.change(
             "JoinTarget",
             service=PLAIN_SERVICE if plain else MODEL_SERVICE,
             target=node.settings["target"],
             domain=node.domain,
-            address=self.outside(node.http),
-            control_address=self.outside(node.settings["control"]),
+            address=self.relayed_address(node.http),
+            control_address=self.relayed_address(node.settings["control"]),
         )
 
-    def outside(self, address: str) -> str:
-        """Return the address by which a process is joined."""
-        known = {to: listen for _, listen, to in self.routes}
-        return known.get(address, address)
+    def relayed_address(self, address: str) -> str:
+        """Return the address of the relay before a process, else its own address."""
+        relayed = {forward: listen for _, listen, forward in self.routes}
+        return relayed.get(address, address)
 
     def account(self, name: str, **fields: Any) -> str:
-        """Create an account and return its key."""
+        """Create an account and return its API key."""
         key = f"key-of-{name}"
         self.change("PutAccount", account=name, key_digest=token_digest(key), **fields)
         return key
 
     def replace_agent(self, node: Node) -> Node:
-        """Start a second agent for a target, at other addresses, and join it."""
+        """Start and join a second agent for a target, at other addresses."""
         settings = {
             **node.settings,
             "process": f"{node.settings['process']}-second",
             "http": free_address(),
             "control": free_address(),
         }
-        other = self._node("agent", settings["process"], node.domain, settings)
-        self.agents.append(other)
-        other.managed.start()
-        other.managed.wait_event("started")
-        self.join(other)
-        return other
-
-    def answers(self, node: Node) -> bool:
-        """Tell whether a process answers."""
+        second = self._make_node("agent", settings["process"], node.domain, settings)
+        self.agents.append(second)
+        second.managed.start()
+        second.managed.wait_event("started")
+        self.join(second)
+        return second
+
+    def is_answering(self, node: Node) -> bool:
+        """Check whether a process answers a status request."""
         return self.get_json(node.http, "/status")["process"] != ""
 
     def model_agents(self) -> list[Node]:
-        """Return the agents before model engines."""
-        return [n for n in self.agents if n.settings["engine"]["kind"] == "model"]
+        """Return the agents of model targets."""
+        return [
+            node for node in self.agents if node.settings["engine"]["kind"] == "model"
+        ]
 
     def status(self, node: Node) -> dict[str, Any]:
-        """Return what a process tells of itself."""
+        """Return the status that a process reports."""
         return self.get_json(node.http, "/status")
 
     def wait(
         self, what: str, check: Callable[[], bool], seconds: float = WAIT_SECONDS
     ) -> None:
-        """Wait until a check holds; a process that does not answer fails it."""
+        """Wait until a condition holds.
+
+        The condition counts as not met while a process does not answer.
+
+        Args:
+            what: Description of the condition for the error message.
+            check: The condition.
+            seconds: Maximum wait.
+
+        Raises:
+            ProcessFailed: The condition did not hold in time.
+        """
         deadline = monotonic() + seconds
-        while not answered(check):
+        while not is_satisfied(check):
             if monotonic() > deadline:
-                raise ProcessFailed(f"not in time: {what}")
+                raise ProcessFailed(f"condition not met in time: {what}")
             sleep(POLL_SECONDS)
 
     def wait_serving(self, root: str, seconds: float = 120.0) -> None:
-        """Wait until every model agent serves a version."""
+        """Wait until every model agent serves the version with a root digest."""
         for node in self.model_agents():
             self.wait(
                 f"{node.managed.name} serves {root[:8]}",
@@ -411,8 +472,8 @@
             )
 
 
-def answered(check: Callable[[], bool]) -> bool:
-    """Return what a check says; False where a process does not answer it."""
+def is_satisfied(check: Callable[[], bool]) -> bool:
+    """Return whether a check passes; False if a process does not answer."""
     try:
         return check()
     except HTTPError:
--- a/src/ridgecourse_standins/demo.py
+++ b/src/ridgecourse_standins/demo.py
@@ -1,4 +1,8 @@
-"""The main job on the stand-ins: two versions rolled out under live requests."""
+"""Demo on the stand-ins: rolls out two versions, the second under live requests.
+
+The summary shows how long the second rollout took, how many copies of the version the
+origin sent, and whether any answer mixed versions or any plain call ran twice.
+"""
 
 import json
 import subprocess
@@ -26,31 +30,43 @@
 
 
 class Demo:
-    """Runs the demo on a started cluster."""
+    """Runs the demo on a started deployment.
+
+    Attributes:
+        cluster: The deployment.
+        size: Size of each version in bytes.
+        caller: Client that sends the requests and checks the answers.
+    """
 
     def __init__(self, cluster: Cluster, size: int) -> None:
         self.cluster = cluster
         self.size = size
         self.caller = Caller([], FLEET, "")
 
-    def ctl(self, *arguments: str) -> dict[str, Any]:
-        """Run ``ridgecourse-ctl`` and return what it prints."""
+    def run_ctl(self, *arguments: str) -> dict[str, Any]:
+        """Run ``ridgecourse-ctl`` and return the JSON of its last line of output.
+
+        Raises:
+            SystemExit: The command failed.
+        """
         entry = self.cluster.entries[0].http
         command = [sys.executable, "-W", "ignore", "-m", "ridgecourse.ctl.main"]
         options = ["--json", "--entry", entry, "--token", OPERATOR_TOKEN]
-        done = subprocess.run(
+        completed = subprocess.run(
             [*command, *options, *arguments], capture_output=True, text=True
         )
         print(f"$ ridgecourse-ctl {' '.join(arguments)}")
-        if done.returncode:
-            raise SystemExit(f"exit code {done.returncode}: {done.stderr}")
-        return json.loads(done.stdout.splitlines()[-1])
+        if completed.returncode:
+            raise SystemExit(
+                f"ridgecourse-ctl: exit code {completed.returncode}: {completed.stderr}"
+            )
+        return json.loads(completed.stdout.splitlines()[-1])
 
     def publish(self, version: str, seed: int) -> str:
-        """Make and publish a version; return its root digest."""
+        """Create and publish a version; return its root digest."""
         directory = self.cluster.models / f"writer-{version}"
         make_version(directory, self.size, seed)
-        self.ctl(
+        self.run_ctl(
             *("model", "publish", FLEET, "writer", version),
             *("--directory", str(directory)),
             *("--chunk-bytes", str(max(1024, self.size // 64))),
@@ -58,28 +74,28 @@
         return self.caller.know(directory)
 
     def roll_out(self, version: str) -> float:
-        """Place a version and wait until all targets serve it."""
-        begun = monotonic()
-        self.ctl("service", "place", FLEET, MODEL_SERVICE, "writer", version)
-        self.ctl("service", "watch", FLEET, MODEL_SERVICE)
-        return monotonic() - begun
+        """Place a version, wait until all targets serve it, and return the seconds."""
+        started_at = monotonic()
+        self.run_ctl("service", "place", FLEET, MODEL_SERVICE, "writer", version)
+        self.run_ctl("service", "watch", FLEET, MODEL_SERVICE)
+        return monotonic() - started_at
 
     def set_up(self) -> None:
-        """Create fleet, services, targets and an account."""
-        self.ctl("fleet", "create", FLEET)
-        self.ctl("service", "create", FLEET, MODEL_SERVICE, "--kind", "model")
-        self.ctl("service", "create", FLEET, PLAIN_SERVICE, "--kind", "plain")
+        """Create the fleet, the services and an account, and join the targets."""
+        self.run_ctl("fleet", "create", FLEET)
+        self.run_ctl("service", "create", FLEET, MODEL_SERVICE, "--kind", "model")
+        self.run_ctl("service", "create", FLEET, PLAIN_SERVICE, "--kind", "plain")
         for node in self.cluster.agents:
             self.cluster.join(node)
         self.caller.key = self.cluster.account("shop")
         self.caller.entries = [node.http for node in self.cluster.entries]
 
     def run(self) -> dict[str, Any]:
-        """Run all of it and return the summary."""
+        """Run the complete demo and return the summary."""
         self.set_up()
         self.publish("v1", seed=1)
         print(f"version 1 served by all after {self.roll_out('v1'):.2f} s")
-        second = self.publish("v2", seed=2)
+        second_root = self.publish("v2", seed=2)
         loads = [
             Load(self.caller, MODEL_SERVICE, 40, repeatable=True),
             Load(self.caller, PLAIN_SERVICE, 10, workers=8),
@@ -92,10 +108,15 @@
         sleep(SETTLE_SECONDS)
         for load in loads:
             load.close()
-        return self.summary(second, seconds)
+        return self.summarize(second_root, seconds)
 
-    def summary(self, root: str, seconds: float) -> dict[str, Any]:
-        """Return what the run showed."""
+    def summarize(self, root: str, seconds: float) -> dict[str, Any]:
+        """Return the results of the run.
+
+        Args:
+            root: Root digest of the second version.
+            seconds: Duration of the second rollout.
+        """
         history = self.caller.history
         outcomes = Counter(answer.outcome for answer in history)
         origin = self.cluster.get_json(self.cluster.addresses["origin"], "/counts")
@@ -112,12 +133,12 @@
             "completed": outcomes["completed"],
             "not_run": outcomes["not-run"],
             "unknown": outcomes["unknown"],
-            "mixed_versions": count_wrong(history),
-            "executed_twice": self.count_twice(),
+            "mixed_versions": count_incorrect(history),
+            "executed_twice": self.count_repeated_calls(),
         }
 
-    def count_twice(self) -> int:
-        """Return calls of the plain services that were carried out twice."""
+    def count_repeated_calls(self) -> int:
+        """Return how many calls of the plain service ran more than once."""
         calls: Counter[str] = Counter()
         for node in self.cluster.agents:
             if node.settings["engine"]["kind"] == "plain":
@@ -126,16 +147,22 @@
         return sum(times > 1 for times in calls.values())
 
 
-def count_wrong(history: list[Answer]) -> int:
-    """Return completed answers that are not wholly of one version's weights."""
-    return sum(a.outcome == "completed" and not a.whole for a in history)
+def count_incorrect(history: list[Answer]) -> int:
+    """Return how many completed answers do not match the weights of one version."""
+    return sum(answer.outcome == "completed" and not answer.whole for answer in history)
 
 
 def main() -> int:
-    """Run the demo; exit non-zero if a promise broke."""
+    """Run the demo; return a non-zero exit code if a guarantee was violated.
+
+    Guarantees: no answer mixes versions, no plain call runs twice, and requests
+    complete.
+    """
     parser = ArgumentParser(description=__doc__)
     parser.add_argument("--size", type=int, default=16 * MEBIBYTE, help="bytes")
-    parser.add_argument("--keep", type=Path, help="keep settings and events there")
+    parser.add_argument(
+        "--keep", type=Path, help="directory to keep settings and events in"
+    )
     arguments = parser.parse_args()
     cluster = Cluster(Plan(), arguments.keep)
     try:
@@ -145,9 +172,9 @@
         if arguments.keep is None:
             rmtree(cluster.directory, ignore_errors=True)
     print(json.dumps(summary))
-    broken = summary["mixed_versions"] or summary["executed_twice"]
+    violated = summary["mixed_versions"] or summary["executed_twice"]
     unanswered = summary["completed"] == 0
-    return 1 if broken or unanswered else 0
+    return 1 if violated or unanswered else 0
 
 
 if __name__ == "__main__":
--- a/src/ridgecourse_standins/engine.py
+++ b/src/ridgecourse_standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine; docs/ENGINE.md has its protocol."""
+"""Stand-in of a model engine; docs/ENGINE.md describes its protocol."""
 
 import ridgecourse.net.patch  # noqa: F401, I001
 import eventlet
@@ -41,18 +41,27 @@
 PREFIX_LENGTH = 64
 PREFILL_STEPS = 2
 STEP_GROWTH = 0.01
-"""Share by which a step takes longer for each further request in the batch."""
+"""Relative increase of the step duration for each further request in the batch."""
 
 
 class Prompt(Struct):
-    """A caller's body, as this engine understands it."""
+    """Body of a client request in the format of this engine."""
 
     prompt: str
     max_tokens: int = DEFAULT_TOKENS
 
 
 class Execution(Struct):
-    """A request that the engine started."""
+    """A request that the engine started.
+
+    Attributes:
+        request_id: Id of the request.
+        prompt: The prompt.
+        root: Root digest of the version that computes the answer.
+        start_at: Index of the first token to send.
+        tokens: Number of tokens sent so far.
+        whole: Whether all tokens were sent.
+    """
 
     request_id: str
     prompt: str
@@ -63,10 +72,25 @@
 
 
 class Engine:
-    """Batches requests in steps; every step gives each of them one token.
-
-    Faults: ``step_seconds`` sets the length of a step, ``fail_after`` breaks
-    streams off after that many tokens, ``refuse_load`` refuses orders to load.
+    """Runs requests in batched steps; each step produces one token for each request.
+
+    Faults: ``step_seconds`` sets the duration of a step, ``fail_after`` breaks
+    streams off after that many tokens, ``refuse_load`` refuses orders to load,
+    ``down`` refuses status and generation requests.
+
+    Attributes:
+        slots: Maximum number of requests that run at once.
+        fenced: Whether orders with an old fencing token are refused.
+        faults: Faults that tests set.
+        active: Root digest of the version that is served; empty for none.
+        loaded: Weights of the loaded versions, by root digest.
+        token: Highest fencing token so far.
+        orders: Orders carried out, as kind, fencing token and root digest.
+        running: Requests in progress, by request id.
+        cancelled: Ids of the requests that are to stop.
+        executions: All requests that were started.
+        prefixes: Prompt prefixes in the prefix cache, least recently used first.
+        step_ended: Notified at the end of every step.
     """
 
     def __init__(self, slots: int, step_seconds: float, fenced: bool) -> None:
@@ -83,7 +107,7 @@
         self.cancelled: set[str] = set()
         self.executions: list[Execution] = []
         self.prefixes: OrderedDict[str, None] = OrderedDict()
-        self.step = Broadcast()
+        self.step_ended = Broadcast()
         self.http = HttpClient()
         self.router = HttpRouter()
         self.router.add("GET", "/v1/state", self.state)
@@ -95,17 +119,17 @@
         self.router.add("POST", "/faults", self.faults.set)
 
     def start(self) -> None:
-        """Begin to step."""
-        eventlet.spawn(self._step)
+        """Start running steps."""
+        eventlet.spawn(self._run_steps)
 
-    def _step(self) -> None:
+    def _run_steps(self) -> None:
         while True:
-            growth = 1 + STEP_GROWTH * max(0, len(self.running) - 1)
-            eventlet.sleep(self.faults.step_seconds * growth)
-            self.step.notify()
+            factor = 1 + STEP_GROWTH * max(0, len(self.running) - 1)
+            eventlet.sleep(self.faults.step_seconds * factor)
+            self.step_ended.notify()
 
     def state(self, request: HttpRequest) -> HttpReply:
-        """Tell what is served and loaded."""
+        """Return the served version, the loaded versions and the number of requests."""
         if self.faults.down:
             return HttpReply(503)
         state = EngineState(
@@ -114,14 +138,14 @@
         return json_reply(state)
 
     def _accept_token(self, token: int) -> bool:
-        """Tell whether an order may be carried out."""
+        """Check whether the fencing token of an order is accepted; record the token."""
         if self.fenced and token < self.token:
             return False
         self.token = max(self.token, token)
         return True
 
     def load(self, request: HttpRequest) -> HttpReply:
-        """Fetch and verify a version; what is served stays as it is."""
+        """Fetch and verify a version; the served version stays active."""
         order = decode(request.read_body(MAX_BODY_BYTES), type=LoadOrder)
         if not self._accept_token(order.token):
             return HttpReply(409, b"old token\n")
@@ -132,24 +156,32 @@
         except (NoConnection, ExchangeFailed, HTTPError, ValueError) as error:
             return HttpReply(503, f"{error}\n".encode())
         self.loaded = {
-            root: held for root, held in self.loaded.items() if root == self.active
+            root: weights
+            for root, weights in self.loaded.items()
+            if root == self.active
         }
         self.loaded[order.root] = weights
         self.orders.append(("load", order.token, order.root))
         return json_reply({"loaded": order.root})
 
     def _fetch(self, order: LoadOrder) -> Weights:
-        parsed = parse_manifest(self._get(order, f"manifest/{order.root}"), order.root)
+        parsed = parse_manifest(
+            self._fetch_path(order, f"manifest/{order.root}"), order.root
+        )
         if isinstance(parsed, Failure):
             raise ValueError(f"bad manifest: {parsed.failure()}")
         chunks = dict(self._stream_chunks(order))
-        wanted = {place.digest for place in parsed.unwrap().unique_chunks()}
-        if set(chunks) != wanted:
-            raise ValueError(f"{len(chunks)} chunks of {len(wanted)}")
+        expected = {location.digest for location in parsed.unwrap().unique_chunks()}
+        if set(chunks) != expected:
+            raise ValueError(f"{len(chunks)} chunks of {len(expected)}")
         return Weights(join_files(parsed.unwrap().chunk_places(), chunks))
 
     def _stream_chunks(self, order: LoadOrder) -> Iterator[tuple[str, bytes]]:
-        """Yield the chunks that the agent sends, each verified."""
+        """Yield digest and data of each chunk that the agent sends, after verification.
+
+        Raises:
+            ValueError: A chunk does not match its digest.
+        """
         headers = {TICKET_HEADER: order.ticket}
         path = f"/engine/stream/{order.root}"
         response = self.http.send(
@@ -164,7 +196,7 @@
                     raise ValueError(f"bad chunk {digest}")
                 yield digest, data
 
-    def _get(self, order: LoadOrder, path: str) -> bytes:
+    def _fetch_path(self, order: LoadOrder, path: str) -> bytes:
         status, data, _ = self.http.fetch(
             "GET",
             order.source,
@@ -176,7 +208,7 @@
         return data
 
     def activate(self, request: HttpRequest) -> HttpReply:
-        """Serve a loaded version to all requests that start from now on."""
+        """Activate a loaded version for all requests that start afterwards."""
         order = decode(request.read_body(MAX_BODY_BYTES), type=ActivateOrder)
         if not self._accept_token(order.token):
             return HttpReply(409, b"old token\n")
@@ -187,7 +219,7 @@
         return json_reply({"active": self.active})
 
     def generate(self, request: HttpRequest) -> HttpReply:
-        """Start a request, or tell that it was not started."""
+        """Start a request, or refuse it with a status that says it was not started."""
         try:
             order = decode(request.read_body(MAX_BODY_BYTES), type=GenerateOrder)
             prompt = decode(order.body, type=Prompt)
@@ -203,7 +235,7 @@
             order.request_id, prompt.prompt, self.active, order.start_at
         )
         self.executions.append(execution)
-        # The stream keeps the weights that it started with.
+        # The stream uses these weights to its end, also after another activation.
         weights = self.loaded[self.active]
         self.running[order.request_id] = execution
         lines = self._stream(execution, weights, prompt)
@@ -214,10 +246,10 @@
     ) -> Iterator[bytes]:
         try:
             for _ in range(self._prefill_steps(prompt.prompt)):
-                self.step.wait()
+                self.step_ended.wait()
             for index in range(execution.start_at, prompt.max_tokens):
-                self.step.wait()
-                if self._broken(execution):
+                self.step_ended.wait()
+                if self._is_interrupted(execution):
                     return
                 token = weights.token(prompt.prompt, index)
                 execution.tokens += 1
@@ -231,10 +263,10 @@
             self.running.pop(execution.request_id, None)
             self.cancelled.discard(execution.request_id)
 
-    def _broken(self, execution: Execution) -> bool:
-        after = self.faults.fail_after
-        failed = 0 <= after <= execution.tokens
-        return failed or execution.request_id in self.cancelled
+    def _is_interrupted(self, execution: Execution) -> bool:
+        fail_after = self.faults.fail_after
+        is_failing = 0 <= fail_after <= execution.tokens
+        return is_failing or execution.request_id in self.cancelled
 
     def _prefill_steps(self, prompt: str) -> int:
         prefix = prompt[:PREFIX_LENGTH]
@@ -246,7 +278,7 @@
         return 0 if cached else PREFILL_STEPS
 
     def cancel(self, request: HttpRequest) -> HttpReply:
-        """Stop a request."""
+        """Cancel a running request."""
         with suppress(DecodeError, KeyError):
             request_id = decode(request.read_body(MAX_BODY_BYTES))["request_id"]
             if request_id in self.running:
@@ -254,7 +286,7 @@
         return HttpReply(200)
 
     def list_executions(self, request: HttpRequest) -> HttpReply:
-        """Tell every request that was started, and every order."""
+        """Return all started requests, all orders and the current monotonic time."""
         return json_reply(
             {"executions": self.executions, "orders": self.orders, "now": monotonic()}
         )
--- a/src/ridgecourse_standins/instances.py
+++ b/src/ridgecourse_standins/instances.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's instance list; tests say what it tells."""
+"""Stand-in of the platform's instance list; tests set its content."""
 
 import ridgecourse.net.patch  # noqa: F401, I001
 
@@ -19,7 +19,10 @@
 
 
 class InstanceList:
-    """Keeps the list; ``down`` refuses to tell it."""
+    """Serves the list of instances.
+
+    Faults: ``down`` refuses reads of the list with 503.
+    """
 
     def __init__(self) -> None:
         self.instances: tuple[Instance, ...] = ()
@@ -30,11 +33,11 @@
         self.router.add("POST", "/faults", self.faults.set)
 
     def read(self, request: HttpRequest) -> HttpReply:
-        """Tell the list."""
+        """Return the list."""
         return HttpReply(503) if self.faults.down else json_reply(self.instances)
 
     def write(self, request: HttpRequest) -> HttpReply:
-        """Set the list."""
+        """Replace the list by the list in the request body."""
         body = request.read_body(MAX_BODY_BYTES)
         self.instances = decode(body, type=tuple[Instance, ...])
         return HttpReply(200)
--- a/src/ridgecourse_standins/managed.py
+++ b/src/ridgecourse_standins/managed.py
@@ -1,4 +1,4 @@
-"""Processes that a test, demo or benchmark starts, watches and ends."""
+"""Processes that tests, the demo and benchmarks start, observe and end."""
 
 import os
 import signal
@@ -17,16 +17,18 @@
 
 
 class ProcessFailed(Exception):
-    """A process ended, or did not do in time what was waited for."""
+    """A process ended, or an awaited event or condition did not occur in time."""
 
 
 class Managed:
-    """One started process with its output in files.
+    """A Python process whose output goes to files.
 
     Attributes:
-        name: For messages.
-        events_path: Its standard output, one JSON object a line.
-        log_path: Its standard error.
+        name: Name of the process in error messages and file names.
+        command: Arguments of the Python interpreter.
+        events_path: File of the standard output, one JSON object per line.
+        log_path: File of the standard error.
+        process: The process; None before the first start.
     """
 
     def __init__(self, name: str, command: list[str], directory: Path) -> None:
@@ -37,7 +39,7 @@
         self.process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start the process; its output is added to that of earlier lives."""
+        """Start the process; output is appended to the files of earlier starts."""
         with self.events_path.open("ab") as output, self.log_path.open("ab") as errors:
             self.process = subprocess.Popen(
                 [sys.executable, "-W", "ignore::DeprecationWarning", *self.command],
@@ -49,37 +51,45 @@
 
     @property
     def running(self) -> subprocess.Popen[bytes]:
-        """Return the started process."""
+        """The started process.
+
+        Raises:
+            ProcessFailed: The process was not started.
+        """
         if self.process is None:
             raise ProcessFailed(f"{self.name} was not started")
         return self.process
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its end."""
         self.running.kill()
         self.running.wait()
 
     def freeze(self) -> None:
-        """Pause the process."""
+        """Pause the process with SIGSTOP."""
         self.running.send_signal(signal.SIGSTOP)
 
     def wake(self) -> None:
-        """Let a paused process go on."""
+        """Resume a paused process with SIGCONT."""
         self.running.send_signal(signal.SIGCONT)
 
     def stop(self, seconds: float = 30.0) -> int:
-        """Ask the process to end in order; return its exit code."""
+        """Terminate the process with SIGTERM; return its exit code.
+
+        Args:
+            seconds: Maximum wait.
+        """
         self.running.terminate()
         return self.running.wait(seconds)
 
     def close(self) -> None:
-        """End the process whatever its state."""
+        """Kill the process if it is still running."""
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
 
     def events(self) -> Iterator[dict[str, Any]]:
-        """Yield what the process has written so far."""
+        """Yield the events written so far; skip lines that are not valid JSON."""
         if not self.events_path.exists():
             return
         for line in self.events_path.read_bytes().splitlines():
@@ -91,41 +101,54 @@
     def wait_event(
         self, kind: str, seconds: float = START_SECONDS, after: int = 0, **fields: Any
     ) -> dict[str, Any]:
-        """Wait for an event and return it.
+        """Wait for an event and return the event.
 
         Args:
-            kind: The event's kind.
-            seconds: Longest wait.
-            after: Number of matching events to pass over.
-            fields: Values that it must have.
+            kind: Kind of the event.
+            seconds: Maximum wait.
+            after: Number of matching events to skip.
+            fields: Values that the fields of the event must have.
+
+        Raises:
+            ProcessFailed: The process ended or wrote no such event in time.
         """
         deadline = monotonic() + seconds
         while monotonic() < deadline:
-            found = [
+            matching = [
                 event
                 for event in self.events()
                 if event.get("kind") == kind
                 and all(event.get(name) == value for name, value in fields.items())
             ]
-            if len(found) > after:
-                return found[after]
+            if len(matching) > after:
+                return matching[after]
             if self.running.poll() is not None:
-                raise ProcessFailed(f"{self.name} ended: {self.log_tail()}")
+                raise ProcessFailed(
+                    f"{self.name} ended unexpectedly: {self.log_tail()}"
+                )
             sleep(POLL_SECONDS)
-        raise ProcessFailed(f"{self.name} had no {kind} in time: {self.log_tail()}")
+        raise ProcessFailed(
+            f"{self.name} wrote no {kind} event in time: {self.log_tail()}"
+        )
 
     def wait_listening(self) -> str:
-        """Wait for a stand-in to listen; return its address."""
+        """Wait until a stand-in listens; return its address.
+
+        Raises:
+            ProcessFailed: The process ended or did not listen in time.
+        """
         deadline = monotonic() + START_SECONDS
         while monotonic() < deadline:
             for event in self.events():
                 if "listening" in event:
                     return event["listening"]
             if self.running.poll() is not None:
-                raise ProcessFailed(f"{self.name} ended: {self.log_tail()}")
+                raise ProcessFailed(
+                    f"{self.name} ended unexpectedly: {self.log_tail()}"
+                )
             sleep(POLL_SECONDS)
-        raise ProcessFailed(f"{self.name} does not listen: {self.log_tail()}")
+        raise ProcessFailed(f"{self.name} did not listen in time: {self.log_tail()}")
 
     def log_tail(self) -> str:
-        """Return the end of its standard error."""
+        """Return the last 2000 characters of the standard error."""
         return self.log_path.read_text(errors="replace")[-2000:]
--- a/src/ridgecourse_standins/models.py
+++ b/src/ridgecourse_standins/models.py
@@ -1,4 +1,4 @@
-"""Makes versions of a model: directories of safetensors files."""
+"""Creates versions of a model as directories of safetensors files."""
 
 from pathlib import Path
 
@@ -16,23 +16,23 @@
     shared_seed: int | None = None,
     shared_files: int = 0,
 ) -> None:
-    """Write a version.
+    """Write the files of a version.
 
     Args:
-        directory: Where; it is made.
-        total_bytes: Size of all files together, about.
-        seed: Decides the content.
+        directory: Directory of the version; created if missing.
+        total_bytes: Approximate size of all files together.
+        seed: Seed of the content.
         files: Number of files.
-        shared_seed: Content of the files that another version shares.
-        shared_files: How many of the files are shared.
+        shared_seed: Seed of the content that the version shares with another version.
+        shared_files: Number of shared files.
     """
     directory.mkdir(parents=True, exist_ok=True)
     for number in range(files):
-        shared = number < shared_files and shared_seed is not None
-        random = np.random.default_rng((shared_seed if shared else seed, number))
+        is_shared = number < shared_files and shared_seed is not None
+        generator = np.random.default_rng((shared_seed if is_shared else seed, number))
         size = max(1, total_bytes // files // TENSORS_PER_FILE)
         tensors = {
-            f"layers.{number}.{index}": random.integers(0, 256, size, dtype=np.uint8)
+            f"layers.{number}.{index}": generator.integers(0, 256, size, dtype=np.uint8)
             for index in range(TENSORS_PER_FILE)
         }
         save_file(tensors, str(directory / f"model-{number:05}.safetensors"))
--- a/src/ridgecourse_standins/oracle.py
+++ b/src/ridgecourse_standins/oracle.py
@@ -1,7 +1,7 @@
-"""The stand-in model: each token depends on the prompt and on weight bytes.
+"""The stand-in model: each token depends on the prompt and on bytes of the weights.
 
-A client that holds the weights can compute the answer a version must give, so
-partial or mixed weights show in the answer itself.
+A client that has the weights can compute the answer that a version must give, so
+partial or mixed weights become visible in the answer.
 """
 
 from collections.abc import Iterator, Mapping
@@ -16,7 +16,7 @@
 
 
 class Weights:
-    """The weight files of one version, as one run of bytes."""
+    """The weight files of one version, concatenated in the order of their paths."""
 
     def __init__(self, files: Mapping[str, bytes]) -> None:
         self.data = b"".join(files[path] for path in sorted(files))
@@ -24,17 +24,17 @@
     def token(self, prompt: str, index: int) -> str:
         """Return the token at a position of the answer to a prompt."""
         seed = blake3(f"{index}/{prompt}".encode()).digest()
-        place = int.from_bytes(seed[:8], "big") % max(1, len(self.data))
-        sample = self.data[place : place + SAMPLE_BYTES]
+        offset = int.from_bytes(seed[:8], "big") % max(1, len(self.data))
+        sample = self.data[offset : offset + SAMPLE_BYTES]
         return blake3(seed + sample).hexdigest()[:TOKEN_LENGTH]
 
     def answer(self, prompt: str, tokens: int) -> list[str]:
-        """Return a whole answer."""
+        """Return the tokens of a complete answer."""
         return [self.token(prompt, index) for index in range(tokens)]
 
 
 def read_weights(directory: Path) -> Weights:
-    """Return the weights of a version's directory."""
+    """Return the weights in the directory of a version."""
     files = {
         str(path.relative_to(directory)): path.read_bytes()
         for path in weight_files(directory)
@@ -43,17 +43,22 @@
 
 
 def weight_files(directory: Path) -> Iterator[Path]:
-    """Yield the weight files of a version's directory."""
+    """Yield the paths of the weight files in the directory of a version."""
     for path in sorted(directory.rglob("*")):
         if path.is_file() and path.name != "manifest.json":
             yield path
 
 
 def join_files(
-    places: Iterator[ChunkPlace], chunks: Mapping[str, bytes]
+    locations: Iterator[ChunkPlace], chunks: Mapping[str, bytes]
 ) -> dict[str, bytes]:
-    """Return files put together from chunks."""
+    """Return the files that chunks make up.
+
+    Args:
+        locations: File and digest of each chunk, in file order.
+        chunks: Data of the chunks, by digest.
+    """
     files: dict[str, list[bytes]] = {}
-    for place in places:
-        files.setdefault(place.path, []).append(chunks[place.digest])
+    for location in locations:
+        files.setdefault(location.path, []).append(chunks[location.digest])
     return {path: b"".join(parts) for path, parts in files.items()}
--- a/src/ridgecourse_standins/origin.py
+++ b/src/ridgecourse_standins/origin.py
@@ -1,4 +1,4 @@
-"""Stand-in of the origin of weights: a directory over a limited link."""
+"""Stand-in of the origin of weights: serves a directory at a limited rate."""
 
 import ridgecourse.net.patch  # noqa: F401, I001
 import eventlet
@@ -17,14 +17,23 @@
     serve,
 )
 
-PIECE_BYTES = 16 * 1024
+BLOCK_BYTES = 16 * 1024
 
 
 class Origin:
-    """Serves files and parts of files.
-
-    Faults: ``down`` refuses everything, ``corrupt`` flips a byte in that many
-    answers, ``stall`` stops that many answers halfway, ``short`` cuts that many.
+    """Serves files and byte ranges of files.
+
+    Faults: ``down`` answers file requests with 503, ``corrupt`` changes the first byte
+    of that many range answers, ``stall`` stops that many answers halfway, ``short``
+    sends only the first half of that many answers.
+
+    Attributes:
+        root: Directory that is served.
+        link: Limits the rate of all answers together.
+        faults: Faults that tests set.
+        sent: Bytes sent, by version.
+        first_sent: Monotonic time of the first block sent, by version.
+        last_sent: Monotonic time of the last block sent, by version.
     """
 
     def __init__(self, root: Path, rate: float | None) -> None:
@@ -40,7 +49,7 @@
         self.router.add("POST", "/faults", self.faults.set)
 
     def read(self, request: HttpRequest) -> HttpReply:
-        """Answer with a file or the range asked for."""
+        """Return a file or the requested range of the file."""
         if self.faults.down:
             return HttpReply(503)
         path = (self.root / request.path.lstrip("/")).resolve()
@@ -53,31 +62,31 @@
         with path.open("rb") as file:
             file.seek(start)
             data = file.read(end - start + 1)
-        if request.header("Range") and self.faults.spend("corrupt"):
+        if request.header("Range") and self.faults.consume("corrupt"):
             data = bytes([data[0] ^ 1]) + data[1:]
         length = len(data)
-        if self.faults.spend("short"):
+        if self.faults.consume("short"):
             data = data[: length // 2]
             length = len(data)
         version = request.path.lstrip("/").split("/")[0]
         headers = [("Content-Length", str(length))]
-        return HttpReply(206, self.send(version, data), headers)
+        return HttpReply(206, self.send_data(version, data), headers)
 
-    def send(self, version: str, data: bytes) -> Iterator[bytes]:
-        """Yield data over the link and count it."""
-        stall_at = len(data) // 2 if self.faults.spend("stall") else None
-        for start in range(0, len(data), PIECE_BYTES):
-            if stall_at is not None and start >= stall_at:
+    def send_data(self, version: str, data: bytes) -> Iterator[bytes]:
+        """Yield data at the rate of the link and count the bytes by version."""
+        stall_offset = len(data) // 2 if self.faults.consume("stall") else None
+        for start in range(0, len(data), BLOCK_BYTES):
+            if stall_offset is not None and start >= stall_offset:
                 eventlet.sleep(3600)
-            piece = data[start : start + PIECE_BYTES]
-            self.link.take(len(piece))
-            self.sent[version] = self.sent.get(version, 0) + len(piece)
+            block = data[start : start + BLOCK_BYTES]
+            self.link.take(len(block))
+            self.sent[version] = self.sent.get(version, 0) + len(block)
             self.first_sent.setdefault(version, monotonic())
             self.last_sent[version] = monotonic()
-            yield piece
+            yield block
 
     def counts(self, request: HttpRequest) -> HttpReply:
-        """Tell the bytes sent by version, and when (on the system's clock)."""
+        """Return the bytes sent by version, with first and last times (monotonic)."""
         return json_reply(
             {
                 "sent": self.sent,
@@ -88,7 +97,12 @@
 
 
 def parse_range(header: str, size: int) -> tuple[int, int]:
-    """Return first and last byte asked for."""
+    """Return the offsets of the first and the last requested byte.
+
+    Args:
+        header: Value of the Range header; other forms than ``bytes=`` mean the file.
+        size: Size of the file in bytes.
+    """
     if not header.startswith("bytes="):
         return 0, size - 1
     start, _, end = header.removeprefix("bytes=").partition("-")
@@ -99,7 +113,7 @@
     """Run the stand-in."""
     parser = make_parser(__doc__ or "")
     parser.add_argument("root", type=Path)
-    parser.add_argument("--rate", type=float, help="bytes a second")
+    parser.add_argument("--rate", type=float, help="bytes per second")
     arguments = parser.parse_args()
     return serve(arguments, Origin(arguments.root, arguments.rate).router)
 
--- a/src/ridgecourse_standins/plain.py
+++ b/src/ridgecourse_standins/plain.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service whose calls may not be repeated."""
+"""Stand-in of a plain service, whose calls must not run more than once."""
 
 import ridgecourse.net.patch  # noqa: F401, I001
 import eventlet
@@ -17,10 +17,14 @@
 
 
 class PlainService:
-    """Counts each call by its body and answers with the count.
+    """Counts the calls with each body and answers with the count.
 
     Faults: ``slow_seconds`` delays the answer after the call took effect,
-    ``lose_replies`` carries out that many calls without answering.
+    ``lose_replies`` carries out that many calls and answers them with 500.
+
+    Attributes:
+        calls: Number of calls by body.
+        faults: Faults that tests set.
     """
 
     def __init__(self) -> None:
@@ -33,21 +37,21 @@
         self.router.add("POST", "/faults", self.faults.set)
 
     def call(self, request: HttpRequest) -> HttpReply:
-        """Carry a call out."""
+        """Run a call and return the number of calls with its body."""
         body = request.read_body(MAX_BODY_BYTES).decode("utf-8", "replace")
         self.calls[body] = self.calls.get(body, 0) + 1
         if self.faults.slow_seconds:
             eventlet.sleep(self.faults.slow_seconds)
-        if self.faults.spend("lose_replies"):
+        if self.faults.consume("lose_replies"):
             return HttpReply(500)
         return json_reply({"done": body, "times": self.calls[body]})
 
     def state(self, request: HttpRequest) -> HttpReply:
-        """Tell that the service is there."""
+        """Return an empty state, which shows that the service is running."""
         return json_reply({})
 
     def list_calls(self, request: HttpRequest) -> HttpReply:
-        """Tell how often each call was carried out."""
+        """Return the number of times that each call ran."""
         return json_reply(self.calls)
 
 
--- a/src/ridgecourse_standins/platform/__init__.py
+++ b/src/ridgecourse_standins/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the users' platform: its store, engines and origin of weights."""
+"""Stand-ins for the platform of the users: store, engines and origin of weights."""
--- a/src/ridgecourse_standins/platform/crashing.py
+++ b/src/ridgecourse_standins/platform/crashing.py
@@ -1,4 +1,4 @@
-"""Stand-in engines that end when they run one request, and come back renamed."""
+"""Stand-in engines that crash on one request and restart under other names."""
 
 from collections.abc import Callable
 from threading import Condition, Lock, Thread, Timer
@@ -11,21 +11,26 @@
 )
 
 CRASH_BODY = b"crash"
-"""Body of a request that ends the engine that runs it."""
-AWAY_SECONDS = 2.0
-RUN_SECONDS = 0.05
+"""Body of a request that crashes every engine that runs the request."""
+RESTART_SECONDS = 2.0
+CRASH_DELAY_SECONDS = 0.05
 
 
 class CrashingEngines:
-    """Engines of one service that a request with ``CRASH_BODY`` ends.
+    """Engines of one service that crash on requests with ``CRASH_BODY``.
 
     Attributes:
-        count: Engines that the service has.
-        list_engine: Called with each new engine to list it.
-        lives: All engines that were started, ended ones included.
-        ends: When each end came, on the test's clock.
+        count: Number of engines of the service.
+        list_engine: Callback that lists a new engine with the platform.
+        incarnations: All engines that were started, crashed ones included.
+        running: Engines that have not crashed.
+        crash_times: Monotonic time of each crash.
         behaviour: Answers all other requests.
-        before_crash: What is answered before an engine ends.
+        before_crash: Called with a crashing request before the engine crashes; may
+            send a part of an answer.
+        timers: Timers of the pending restarts.
+        changed: Notified after each crash.
+        closed: Whether all engines were closed; no engine starts afterwards.
     """
 
     def __init__(
@@ -39,7 +44,7 @@
         self.list_engine = list_engine
         self.behaviour = behaviour
         self.before_crash = before_crash
-        self.lives: list[EngineStandIn] = []
+        self.incarnations: list[EngineStandIn] = []
         self.living: set[EngineStandIn] = set()
         self.ends: list[float] = []
         self.timers: list[Timer] = []
@@ -50,18 +55,18 @@
     def start(self) -> None:
         """Start and list all engines."""
         for _ in range(self.count):
-            self._add()
+            self._start_engine()
 
     def close(self) -> None:
-        """End all engines for good."""
+        """Close all engines and cancel pending restarts."""
         self.closed = True
         for timer in self.timers:
             timer.cancel()
-        for engine in self.lives:
+        for engine in self.incarnations:
             engine.close()
 
     def end(self, engine: EngineStandIn) -> None:
-        """End an engine, once; another one comes back for it."""
+        """Crash an engine once; a new engine replaces it after ``RESTART_SECONDS``."""
         with self.lock:
             if engine not in self.living:
                 return
@@ -70,39 +75,43 @@
         with self.changed:
             self.ends.append(monotonic())
             self.changed.notify_all()
-        timer = Timer(AWAY_SECONDS, self._add)
+        timer = Timer(RESTART_SECONDS, self._start_engine)
         timer.daemon = True
         self.timers.append(timer)
         timer.start()
 
     def crash_requests(self) -> list[ReceivedRequest]:
-        """Return the requests with ``CRASH_BODY`` that reached an engine."""
+        """Return the requests with ``CRASH_BODY`` that engines received."""
         return [
             request
-            for engine in list(self.lives)
+            for engine in list(self.incarnations)
             for request in list(engine.requests)
             if request.body == CRASH_BODY
         ]
 
-    def _add(self) -> None:
+    def _start_engine(self) -> None:
         if self.closed:
             return
         engine = EngineStandIn(send_whole)
-        engine.behaviour = self._behave_as(engine)
+        engine.behaviour = self._make_behaviour(engine)
         engine.start()
         with self.lock:
-            self.lives.append(engine)
+            self.incarnations.append(engine)
             self.living.add(engine)
         self.list_engine(engine)
 
-    def _behave_as(self, engine: EngineStandIn) -> Callable[[ReceivedRequest], None]:
-        def behave(request: ReceivedRequest) -> None:
+    def _make_behaviour(
+        self, engine: EngineStandIn
+    ) -> Callable[[ReceivedRequest], None]:
+        def respond(request: ReceivedRequest) -> None:
             if request.body != CRASH_BODY:
                 self.behaviour(request)
                 return
             self.before_crash(request)
-            timer = Timer(RUN_SECONDS, Thread(target=self.end, args=(engine,)).start)
+            timer = Timer(
+                CRASH_DELAY_SECONDS, Thread(target=self.end, args=(engine,)).start
+            )
             timer.daemon = True
             timer.start()
 
-        return behave
+        return respond
--- a/src/ridgecourse_standins/platform/engine.py
+++ b/src/ridgecourse_standins/platform/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in for a target whose answers a test writes itself."""
+"""Stand-in of a target whose answers the tests write."""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -21,14 +21,14 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request as it arrived.
+    """A request as received.
 
     Attributes:
-        line: The request line.
-        headers: Names and values in order.
+        request_line: The request line.
+        headers: Names and values of the headers, in the order received.
         body: The body, without chunk framing.
-        connection: Where to answer.
-        closed: Set once the other side has ended the connection.
+        connection: Socket for the answer.
+        closed: Set once the peer has closed the connection.
     """
 
     line: str
@@ -38,7 +38,7 @@
     closed: bool = field(default=False)
 
     def header(self, name: str) -> str | None:
-        """Return a header's first value."""
+        """Return the first value of a header; None if absent."""
         for key, value in self.headers:
             if key.lower() == name.lower():
                 return value
@@ -55,19 +55,23 @@
 
 
 def now_ms() -> int:
-    """Return the Unix millisecond."""
+    """Return the Unix time in milliseconds."""
     return time_ns() // NANOSECONDS_PER_MILLISECOND
 
 
 class EngineStandIn:
-    """One life of a target on loopback.
+    """One incarnation of a target on loopback.
 
     Attributes:
-        requests: What arrived, health checks included.
-        behaviour: Writes the answer; replaced by tests at any time.
-        born: Unix millisecond of its start; None for an engine that does not tell.
-        awake: Cleared while it is frozen.
-        bound: Where it listens; its next life may listen there once it is killed.
+        behaviour: Writes the answer to a request; tests may replace it at any time.
+        born: Start time in Unix milliseconds; None for an engine that does not report
+            the time.
+        requests: Received requests, health checks included.
+        changed: Notified when a request arrives or a connection closes.
+        resumed: Cleared while the engine is paused.
+        listener: Listening socket.
+        bound_address: Host and port of the listener. The next incarnation may listen
+            there once this incarnation is killed.
     """
 
     def __init__(
@@ -81,66 +85,73 @@
         self.born = born
         self.requests: list[ReceivedRequest] = []
         self.changed = Condition()
-        self.awake = Event()
-        self.awake.set()
+        self.resumed = Event()
+        self.resumed.set()
         self.listener = create_server((host, port))
-        self.bound: tuple[str, int] = self.listener.getsockname()[:2]
+        self.bound_address: tuple[str, int] = self.listener.getsockname()[:2]
         self.thread = Thread(target=self._accept, daemon=True)
 
     @property
     def address(self) -> str:
-        """HOST:PORT of the target."""
+        """Address of the target as "HOST:PORT"."""
         host, port = self.listener.getsockname()[:2]
         return f"{host}:{port}"
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start accepting connections."""
         self.thread.start()
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop accepting connections."""
         with suppress(OSError):
-            # Wakes the accepting thread, which else would take one more.
+            # Wakes the accepting thread, which would otherwise accept one more
+            # connection.
             self.listener.shutdown(SHUT_RDWR)
         self.listener.close()
 
     def kill(self) -> None:
-        """End at once: callers see a reset."""
+        """Stop and reset all connections, as after a crash."""
         self.close()
         self.thread.join()
         for request in self.requests:
             with suppress(OSError):
                 reset(request)
 
-    def restart(self, moved: bool = False) -> "EngineStandIn":
-        """Return the next life, not started yet: it knows nothing of this one.
+    def restart(self, at_new_port: bool = False) -> "EngineStandIn":
+        """Return the next incarnation, not started, without state of this one.
 
         Args:
-            moved: Whether it stands at another address, as it must while this one
-                is only frozen.
+            at_new_port: Whether the next incarnation listens at another port. This is
+                required while this incarnation is only paused.
         """
-        host, port = self.bound
-        next_port = ANY_PORT if moved else port
+        host, port = self.bound_address
+        next_port = ANY_PORT if at_new_port else port
         born = max(now_ms(), (self.born or 0) + 1)
         return EngineStandIn(self.behaviour, host, next_port, born)
 
     def freeze(self) -> None:
-        """Stop answering; connections stay open."""
-        self.awake.clear()
+        """Pause answering; connections stay open."""
+        self.resumed.clear()
 
     def wake(self) -> None:
-        """Go on, also with what came meanwhile."""
-        self.awake.set()
+        """Resume answering, including the requests received during the pause."""
+        self.resumed.set()
 
     def wait_for(self, count: int, seconds: float = 10.0) -> list[ReceivedRequest]:
-        """Return the requests once there are so many."""
+        """Return the requests once at least ``count`` requests arrived.
+
+        Raises:
+            AssertionError: Fewer requests arrived in time.
+        """
         with self.changed:
             if not self.changed.wait_for(lambda: len(self.requests) >= count, seconds):
-                raise AssertionError(f"{len(self.requests)} of {count} requests came")
+                raise AssertionError(
+                    f"{len(self.requests)} of {count} requests arrived"
+                )
             return list(self.requests)
 
     def wait_closed(self, request: ReceivedRequest, seconds: float = 10.0) -> bool:
-        """Tell whether the other side ended a request's connection in time."""
+        """Check whether the peer closes the connection of a request in time."""
         with self.changed:
             return self.changed.wait_for(lambda: request.closed, seconds)
 
@@ -159,7 +170,7 @@
                 self.requests.append(request)
                 self.changed.notify_all()
             Thread(target=self._watch, args=(request,), daemon=True).start()
-            self.awake.wait()
+            self.resumed.wait()
             self.behaviour(request)
 
     def _watch(self, request: ReceivedRequest) -> None:
@@ -172,18 +183,24 @@
 
 
 def read_request(connection: socket) -> ReceivedRequest:
-    """Read one request with its body."""
+    """Read one request with its body.
+
+    Raises:
+        OSError: The connection ended before the end of the headers.
+    """
     data = b""
     while b"\r\n\r\n" not in data:
-        piece = connection.recv(65536)
-        if not piece:
-            raise OSError("the connection ended")
-        data += piece
+        received = connection.recv(65536)
+        if not received:
+            raise OSError("the connection ended before the end of the request headers")
+        data += received
     head, _, body = data.partition(b"\r\n\r\n")
-    line, *rest = head.decode("latin1").split("\r\n")
+    line, *header_lines = head.decode("latin1").split("\r\n")
     headers = [
         (name, value.strip())
-        for name, _, value in (text.partition(":") for text in rest)
+        for name, _, value in (
+            header_line.partition(":") for header_line in header_lines
+        )
     ]
     request = ReceivedRequest(line, headers, body, connection)
     length = int(request.header("Content-Length") or 0)
@@ -192,13 +209,16 @@
     return request
 
 
-# Behaviours, and parts to build them from.
+# Behaviours and functions that behaviours are composed of.
 
 
 def answer_head(
     request: ReceivedRequest, status: str = "200 OK", signed: bool = True
 ) -> list[str]:
-    """Return the lines of an answer's head, without framing."""
+    """Return the status line and the first header lines of an answer.
+
+    Headers that frame the body are left to the callers of this function.
+    """
     lines = [f"HTTP/1.1 {status}", f"{ATTEMPT_ID}: {request.header(ATTEMPT_ID) or ''}"]
     if signed:
         lines.append(f"{SIGNATURE}: signed-by-engine")
@@ -212,7 +232,15 @@
     signed: bool = True,
     extra: tuple[str, ...] = (),
 ) -> None:
-    """Answer with a body of a told length."""
+    """Answer with a body and its Content-Length, then shut the connection for writing.
+
+    Args:
+        request: Request to answer.
+        body: Body of the answer.
+        status: Status code and reason phrase.
+        signed: Whether the answer has the signature header of an engine.
+        extra: Further header lines.
+    """
     lines = [*answer_head(request, status, signed), *extra]
     lines.append(f"Content-Length: {len(body)}")
     request.connection.sendall("\r\n".join([*lines, "", ""]).encode() + body)
@@ -220,36 +248,36 @@
 
 
 def refuse(request: ReceivedRequest, status: str = "503 Service Unavailable") -> None:
-    """Answer that the request was not run."""
+    """Answer that the request was not run, without a signature."""
     send_whole(request, b"", status, signed=False, extra=(f"{NOT_RUN}: 1",))
 
 
 def send_stream_head(request: ReceivedRequest) -> None:
-    """Send the head of a chunked stream of events."""
+    """Send the status line and the headers of a chunked event stream."""
     lines = answer_head(request)
     lines.extend(["Content-Type: text/event-stream", "Transfer-Encoding: chunked"])
     request.connection.sendall("\r\n".join([*lines, "", ""]).encode())
 
 
 def event(number: int) -> bytes:
-    """Return one event."""
+    """Return the server-sent event with a number."""
     return f"id: {number}\ndata: piece {number}\n\n".encode()
 
 
 def send_chunk(request: ReceivedRequest, data: bytes) -> None:
-    """Send one chunk of a chunked body; empty data ends it."""
+    """Send one chunk of a chunked body; empty data ends the body."""
     request.connection.sendall(b"%x\r\n%s\r\n" % (len(data), data))
 
 
 def send_events(request: ReceivedRequest, first: int, last: int) -> None:
-    """Send events, both ends included."""
+    """Send the events ``first`` to ``last``, each in a chunk of its own."""
     for number in range(first, last + 1):
         send_chunk(request, event(number))
 
 
 def reset(request: ReceivedRequest) -> None:
-    """End the connection by a reset."""
+    """Close the connection of a request with a TCP reset."""
     request.connection.setsockopt(SOL_SOCKET, SO_LINGER, pack("ii", 1, 0))
-    # Wakes the watching thread, which else would keep the connection alive.
+    # Wakes the thread in ``_watch``, which would otherwise keep the connection open.
     request.connection.shutdown(SHUT_RD)
     request.connection.close()
--- a/src/ridgecourse_standins/platform/loader.py
+++ b/src/ridgecourse_standins/platform/loader.py
@@ -1,4 +1,4 @@
-"""A stand-in for the loader beside an engine: tells a load that a test sets."""
+"""Stand-in of the loader beside an engine; reports a load that a test sets."""
 
 from threading import Thread
 from typing import Any
@@ -11,18 +11,20 @@
 from ridgecourse.wire.codec import encode_message
 from ridgecourse.wire.control import EngineReport, GatewaysChanged, Named
 
-TELL_SECONDS = 0.05
+REPORT_SECONDS = 0.05
 IDLE = EngineStatus(WeightsVersion(1), False, 0, 0, 0, 317_000)
-"""The load of an engine that has nothing to do."""
+"""Load of an idle engine."""
 
 
 class LoaderStandIn:
-    """Tells whoever connects the load of its engine.
+    """Reports the load of its engine to every process that connects.
 
     Attributes:
-        status: The load.
-        told: The load that was told last, some milliseconds ago.
-        watchers: Connections so far.
+        status: Load to report.
+        last_reported: Load in the last report, which was sent some milliseconds ago.
+        connection_count: Number of connections accepted so far.
+        closed: Whether the stand-in was closed; ends the connections.
+        server: WebSocket server.
     """
 
     def __init__(self, host: str, port: int, status: EngineStatus = IDLE) -> None:
@@ -30,19 +32,19 @@
         self.told: EngineStatus | None = None
         self.watchers = 0
         self.closed = False
-        self.server: Any = serve(self._tell, host, port, compression=None)
+        self.server: Any = serve(self._send_reports, host, port, compression=None)
         self.thread = Thread(target=self.server.serve_forever, daemon=True)
 
     def start(self) -> None:
-        """Begin to tell."""
+        """Start accepting connections."""
         self.thread.start()
 
     def close(self) -> None:
-        """Stop."""
+        """Close the server and stop reporting."""
         self.closed = True
         self.server.shutdown()
 
-    def _tell(self, connection: ServerConnection) -> None:
+    def _send_reports(self, connection: ServerConnection) -> None:
         connection.recv(5.0)
         self.watchers += 1
         try:
@@ -50,13 +52,14 @@
             connection.send(encode_message(GatewaysChanged([], [])))
             number = 0
             while not self.closed:
-                # Numbered as datagrams are, so that each is taken in at once.
+                # Reports are numbered like datagrams, so that the receiver applies
+                # each report at once.
                 number += 1
                 status = self.status
                 connection.send(encode_message(EngineReport(status, number)))
                 self.told = status
                 try:
-                    connection.recv(TELL_SECONDS)
+                    connection.recv(REPORT_SECONDS)
                 except TimeoutError:
                     continue
         except ConnectionClosed:
--- a/src/ridgecourse_standins/platform/site.py
+++ b/src/ridgecourse_standins/platform/site.py
@@ -1,4 +1,4 @@
-"""Settings, configurations and entries as the platform writes them."""
+"""Sample settings, configurations and engine entries in the format of the platform."""
 
 from typing import Any
 
@@ -11,13 +11,15 @@
 LARGE_ROUTES = 1960
 
 
-def make_route(prefix: str, kind: str, service: str, **more: Any) -> dict[str, Any]:
-    """Return a route of the one host."""
+def make_route(
+    prefix: str, route_type: str, service: str, **overrides: Any
+) -> dict[str, Any]:
+    """Return a route of ``HOST``; ``overrides`` replace or add fields."""
     route = {
         "name": f"route{prefix}",
         "hostname": HOST,
         "path_prefix": prefix,
-        "type": kind,
+        "type": route_type,
         "timeout_ms": 3000,
         "target_latency_ms": 400,
         "priority": 1,
@@ -25,11 +27,16 @@
         "max_attempts": 2,
         "public": False,
     }
-    return {**route, **more}
+    return {**route, **overrides}
 
 
-def make_config(version: int = 1, **more: Any) -> dict[str, Any]:
-    """Return a configuration with a model's service, two plain ones and an origin."""
+def make_config(version: int = 1, **overrides: Any) -> dict[str, Any]:
+    """Return a configuration with a model service, 2 plain services and an origin.
+
+    Args:
+        version: Version of the configuration.
+        overrides: Fields that are replaced or added.
+    """
     engine = {
         "slots": 16,
         "kv_capacity_tokens": 317000,
@@ -69,19 +76,26 @@
         },
         "tenants": [{"name": "shop", "api_keys": [KEY]}],
     }
-    return {**config, **more}
+    return {**config, **overrides}
 
 
 def make_large_config(version: int) -> dict[str, Any]:
-    """Return a configuration that takes a second on a slow link."""
+    """Return a configuration whose transfer takes 1 s on a slow link."""
     config = make_config(version)
-    idle = [make_route(f"/idle-{n}/", "safe", "app") for n in range(LARGE_ROUTES)]
+    idle = [
+        make_route(f"/idle-{number}/", "safe", "app") for number in range(LARGE_ROUTES)
+    ]
     config["routes"].extend(idle)
     return config
 
 
-def make_settings(store: str, **more: Any) -> dict[str, Any]:
-    """Return the settings of a gateway on a free port; others override them."""
+def make_settings(store: str, **overrides: Any) -> dict[str, Any]:
+    """Return the settings of a gateway on a free port.
+
+    Args:
+        store: Address of the store.
+        overrides: Fields that are replaced or added.
+    """
     settings = {
         "node_name": "edge-a-1",
         "ip": "127.0.0.1",
@@ -104,11 +118,17 @@
         "platform": {"address": store},
         "a field of later days": True,
     }
-    return {**settings, **more}
+    return {**settings, **overrides}
+
 
+def make_engine_entry(address: str, zone: str, **overrides: Any) -> dict[str, Any]:
+    """Return the entry of an engine that serves version 1.
 
-def make_engine_entry(address: str, zone: str, **more: Any) -> dict[str, Any]:
-    """Return the entry of an engine that serves the first version."""
+    Args:
+        address: Address of the engine.
+        zone: Zone of the engine.
+        overrides: Fields that are replaced or added.
+    """
     entry = {
         "service": "llm",
         "address": address,
@@ -121,4 +141,4 @@
         "models": [{"name": MODEL, "version": 1, "adapters": []}],
         "layers": {"from": 0, "target_version": LAYERS, "version": 1},
     }
-    return {**entry, **more}
+    return {**entry, **overrides}
--- a/src/ridgecourse_standins/platform/store.py
+++ b/src/ridgecourse_standins/platform/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store, with the failures that tests ask for."""
+"""Stand-in of the platform's store, with faults that tests set."""
 
 from base64 import b64encode
 from collections.abc import Callable, Iterator
@@ -24,14 +24,14 @@
 )
 
 LINK_STEP_SECONDS = 0.02
-"""Between two pieces of an answer on a link with a rate."""
+"""Duration of each block of an answer on a link with limited rate."""
 
 
 class Link:
-    """Carries pieces one after the other, in the order in which they come.
+    """A link that transmits blocks one after the other, in the order of their arrival.
 
     Attributes:
-        free_at: When the last piece so far has passed.
+        free_at: Monotonic time at which the last block so far is transmitted.
     """
 
     def __init__(self) -> None:
@@ -39,7 +39,11 @@
         self.lock = Lock()
 
     def reserve(self, seconds: float) -> float:
-        """Return after how many seconds a piece has passed that takes so many."""
+        """Reserve the link for a block; return the seconds until it is transmitted.
+
+        Args:
+            seconds: Duration of the transmission.
+        """
         with self.lock:
             now = monotonic()
             self.free_at = max(now, self.free_at) + seconds
@@ -49,9 +53,10 @@
 class StoreMode(Enum):
     """How the store answers.
 
-    UP: As it should.
-    DOWN: With 503.
-    SILENT: Not at all.
+    Attributes:
+        UP: Normally.
+        DOWN: With status 503.
+        SILENT: Not at all.
     """
 
     UP = "up"
@@ -63,47 +68,52 @@
     """A store on loopback.
 
     Attributes:
-        mode: How it answers.
+        mode: How the store answers.
         topics: Records of each topic, as key and value.
-        first_kept: Offsets below this answer 410.
-        calls: Calls so far.
-        late: Writes held back earlier.
-        appended: Records that the system wrote, as topic, key and value.
-        told: The records told to each host, as topic, key and value.
-        held_back: Writes that got no answer and are still to be done; None for none to
-            come.
-        newest_asked: Who asked for the newest records, as host and topic.
-        asked: Who asked for records from an offset on, as host and topic.
-        bytes_per_s: Rate of the link to all readers together; None for no limit.
-        link: What answers share where it has a rate.
-        sending: Answers that are on their way over it.
-        most_sending: Most of them at once.
-        narrow: Rates of links that single readers have of their own.
-        turned_away: Readers that are answered 503.
-        answer_seconds: From a call to its answer, beyond any wait.
-        named_at: When each version of weights was acknowledged, by model and version.
+        earliest_offsets: Earliest readable offset of each topic; reads below it are
+            answered with 410.
+        calls: Number of calls so far.
+        late_writes: Writes that were delayed and can be applied late.
+        appended: Records that the tested processes wrote, as topic, key and value.
+        delivered: Records sent to each host, as topic, key and value.
+        delayed_writes: Writes that got no answer and are not applied yet; None while
+            writes are not delayed.
+        newest_reads: Reads of the newest records, as host and topic.
+        offset_reads: Reads from an offset on, as host and topic.
+        bytes_per_s: Rate of the link that all readers share; None for no limit.
+        link: Link that the answers share if ``bytes_per_s`` is set.
+        sending_count: Number of answers that are being sent over links.
+        max_sending_count: Maximum of ``sending_count`` so far.
+        reader_rates: Rate of the link of a single reader, by host.
+        refused_readers: Hosts whose calls are answered with 503.
+        answer_delay_seconds: Time from a call to its answer, without the time that a
+            read waits for records.
+        version_put_at: Monotonic time at which each version of weights was
+            acknowledged, by model and version.
+        condition: Notified after each change of records, mode or writes.
+        closed: Whether the store was closed; ends waiting reads.
     """
 
     def __init__(self) -> None:
         self.mode = StoreMode.UP
-        self.late: list[tuple[str, bytes, int | None]] = []
+        self.late_writes: list[tuple[str, bytes, int | None]] = []
         self.topics: dict[str, list[tuple[str, bytes]]] = {
             DECISIONS_TOPIC: [],
             TARGETS_TOPIC: [],
         }
-        self.first_kept = dict.fromkeys(self.topics, 0)
+        self.earliest_offsets = dict.fromkeys(self.topics, 0)
         self.appended: list[tuple[str, str, bytes]] = []
         self.newest_asked: list[tuple[str, str]] = []
         self.asked: list[tuple[str, str]] = []
-        self.held_back: list[tuple[str, bytes, int | None]] | None = None
+        self.delayed_writes: list[tuple[str, bytes, int | None]] | None = None
         self.told: dict[str, list[tuple[str, str, bytes]]] = {}
         self.bytes_per_s: float | None = None
         self.link = Link()
-        self.sending = 0
+        self.sending_count = 0
         self.most_sending = 0
-        self.narrow: dict[str, float] = {}
-        self.turned_away: set[str] = set()
-        self.answer_seconds = 0.0
+        self.reader_rates: dict[str, float] = {}
+        self.refused_readers: set[str] = set()
+        self.answer_delay_seconds = 0.0
         self.named_at: dict[tuple[str, int], float] = {}
         self.calls = 0
         self.condition = Condition()
@@ -114,16 +124,16 @@
 
     @property
     def address(self) -> str:
-        """HOST:PORT of the store."""
+        """Address of the store as "HOST:PORT"."""
         host, port = self.server.server_address[:2]
         return f"{host!s}:{port}"
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start accepting connections."""
         self.thread.start()
 
     def close(self) -> None:
-        """Stop."""
+        """Stop the server and end waiting reads."""
         with self.condition:
             self.closed = True
             self.condition.notify_all()
@@ -131,7 +141,7 @@
         self.server.server_close()
 
     def put(self, topic: str, key: str, value: Any) -> None:
-        """Append a record; None drops the key."""
+        """Append a record of the platform; a value of None removes the key."""
         data = b"" if value is None else encode(value)
         with self.condition:
             self.topics[topic].append((key, data))
@@ -142,69 +152,78 @@
         self.put(DECISIONS_TOPIC, CONFIG_KEY, config)
 
     def put_version(self, model: str, version: int) -> None:
-        """Name a version of a model's weights."""
+        """Publish the version of the weights that a model is to use."""
         key = f"{VERSION_KEY_PREFIX}{model}"
         self.put(DECISIONS_TOPIC, key, {"model": model, "version": version})
         self.named_at[model, version] = monotonic()
 
     def put_target(self, target: str, entry: dict[str, Any] | None) -> None:
-        """List a target; None takes it off the list."""
+        """Publish the entry of a target; None removes the target from the list."""
         self.put(TARGETS_TOPIC, target, entry)
 
     def append(
         self, topic: str, data: bytes, expected_end: int | None = None
     ) -> tuple[int, bytes]:
-        """Take records of the system's own; return status and body."""
+        """Append records that a tested process writes; return status and body.
+
+        Topics of the platform are answered with 403.
+
+        Args:
+            topic: The topic.
+            data: Encoded records.
+            expected_end: End offset that the topic must have; None for any. Another
+                end is answered with 412.
+        """
         if topic in (DECISIONS_TOPIC, TARGETS_TOPIC):
             return 403, b"{}"
         records = list(split_records(data))
         with self.condition:
-            kept = self.topics.setdefault(topic, [])
-            offset = len(kept)
+            stored = self.topics.setdefault(topic, [])
+            offset = len(stored)
             if expected_end not in (None, offset):
                 return 412, encode({"end_offset": offset})
-            kept.extend(records)
+            stored.extend(records)
             self.appended.extend((topic, *record) for record in records)
             self.condition.notify_all()
         return 200, encode({"offset": offset, "end_offset": offset + len(records)})
 
     def hold_writes_back(self) -> None:
-        """Do writes from now on only when released, and answer none."""
-        self.held_back = []
+        """Delay all following writes: keep them without applying or answering them."""
+        self.delayed_writes = []
 
     def wait_held_back(self, seconds: float = 3.0) -> bool:
-        """Tell whether a write was held back in time."""
+        """Check whether a write is delayed within a time limit."""
         with self.condition:
-            return self.condition.wait_for(lambda: bool(self.held_back), seconds)
+            return self.condition.wait_for(lambda: bool(self.delayed_writes), seconds)
 
     def answer_writes(self) -> None:
-        """Do and answer writes again; those held back are still to be done."""
+        """Apply and answer writes again; delayed writes become late writes."""
         with self.condition:
-            self.late, self.held_back = self.held_back or [], None
+            self.late_writes, self.delayed_writes = self.delayed_writes or [], None
 
     def do_late_writes(self) -> None:
-        """Do what was held back, where its condition still holds."""
-        for topic, data, expected_end in self.late:
+        """Apply the late writes whose expected end offset still matches."""
+        for topic, data, expected_end in self.late_writes:
             self.append(topic, data, expected_end)
 
     def wait_appended(self, count: int, seconds: float = 3.0) -> bool:
-        """Tell whether the system wrote so many records in time."""
+        """Check whether tested processes append ``count`` records in time."""
         with self.condition:
             return self.condition.wait_for(lambda: len(self.appended) >= count, seconds)
 
     def forget_history(self, topic: str) -> None:
-        """Drop all records but the newest of each key."""
+        """Make all records of a topic unreadable except the newest of each key."""
         with self.condition:
-            self.first_kept[topic] = len(self.topics[topic])
+            self.earliest_offsets[topic] = len(self.topics[topic])
 
     def set_mode(self, mode: StoreMode) -> None:
-        """Change how it answers, waiting reads included."""
+        """Set how the store answers; the mode also ends waiting reads."""
         with self.condition:
             self.mode = mode
             self.condition.notify_all()
 
     def newest(self, topic: str) -> bytes:
-        """Return the newest records as the store encodes them."""
+        """Return the newest record of each key, in the encoding of the store."""
         newest: dict[str, dict[str, Any]] = {}
         records = self.topics.get(topic, [])
         for offset, (key, value) in enumerate(records):
@@ -215,18 +234,18 @@
         return encode({"items": list(newest.values()), "end_offset": len(records)})
 
     def read(
-        self, topic: str, start: int, wait: float, most: int
+        self, topic: str, start: int, wait_seconds: float, max_bytes: int
     ) -> tuple[bytes, list[tuple[str, bytes]]] | None:
-        """Return records from an offset on, None where they are gone.
+        """Return records from an offset on; None if the offset was compacted.
 
         Args:
             topic: The topic.
             start: The offset.
-            wait: Longest wait for a first record, in seconds.
-            most: Bytes after which no further record is told.
+            wait_seconds: Maximum wait for a first record.
+            max_bytes: Size of the body after which no further record is added.
 
         Returns:
-            The answer's body and the records in it.
+            The body of the answer and the records in the body.
         """
         records = self.topics[topic]
         with self.condition:
@@ -234,19 +253,19 @@
                 lambda: (
                     len(records) > start or self.closed or self.mode is not StoreMode.UP
                 ),
-                wait,
+                wait_seconds,
             )
-            if start < self.first_kept[topic]:
+            if start < self.earliest_offsets[topic]:
                 return None
-            body = pack(">QQ", len(records), self.first_kept[topic])
-            told = []
+            body = pack(">QQ", len(records), self.earliest_offsets[topic])
+            delivered = []
             for key, value in records[start:]:
-                if told and len(body) > most:
+                if delivered and len(body) > max_bytes:
                     break
                 record = bytes([len(key)]) + key.encode() + value
                 body += pack(">I", len(record)) + record
-                told.append((key, value))
-            return body, told
+                delivered.append((key, value))
+            return body, delivered
 
     def _make_handler(self) -> Callable[..., BaseHTTPRequestHandler]:
         store = self
@@ -270,7 +289,7 @@
         return Handler
 
     def answer(self, handler: BaseHTTPRequestHandler) -> None:
-        """Answer a call as the mode has it."""
+        """Answer a call according to the mode of the store."""
         self.calls += 1
         if self.mode is StoreMode.SILENT:
             with self.condition:
@@ -281,9 +300,9 @@
             return
         length = int(handler.headers.get("Content-Length", "0"))
         host = handler.client_address[0]
-        status, body = self._find(host, handler.path, handler.rfile.read(length))
-        sleep(self.answer_seconds)
-        if self.mode is StoreMode.DOWN or host in self.turned_away:
+        status, body = self._handle(host, handler.path, handler.rfile.read(length))
+        sleep(self.answer_delay_seconds)
+        if self.mode is StoreMode.DOWN or host in self.refused_readers:
             status, body = 503, b""
         if status == 0:
             handler.close_connection = True
@@ -295,29 +314,29 @@
             self._send(handler, body)
 
     def _send(self, handler: BaseHTTPRequestHandler, body: bytes) -> None:
-        """Send a body at the rate of its link."""
-        own = self.narrow.get(handler.client_address[0])
-        rate = own or self.bytes_per_s
+        """Send a body at the rate of the link to the reader."""
+        reader_rate = self.reader_rates.get(handler.client_address[0])
+        rate = reader_rate or self.bytes_per_s
         if rate is None:
             handler.wfile.write(body)
             return
-        link = Link() if own else self.link
+        link = Link() if reader_rate else self.link
         size = max(1, int(rate * LINK_STEP_SECONDS))
-        self._count_sending(+1)
+        self._change_sending_count(+1)
         try:
             for start in range(0, len(body), size):
-                piece = body[start : start + size]
-                sleep(link.reserve(len(piece) / rate))
-                handler.wfile.write(piece)
+                block = body[start : start + size]
+                sleep(link.reserve(len(block) / rate))
+                handler.wfile.write(block)
         finally:
-            self._count_sending(-1)
+            self._change_sending_count(-1)
 
-    def _count_sending(self, change: int) -> None:
+    def _change_sending_count(self, change: int) -> None:
         with self.condition:
-            self.sending += change
-            self.most_sending = max(self.most_sending, self.sending)
+            self.sending_count += change
+            self.most_sending = max(self.most_sending, self.sending_count)
 
-    def _find(self, host: str, target: str, data: bytes) -> tuple[int, bytes]:
+    def _handle(self, host: str, target: str, data: bytes) -> tuple[int, bytes]:
         parts = urlsplit(target)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         if parts.path == LOG_NEWEST_PATH:
@@ -325,20 +344,22 @@
             return 200, self.newest(query["topic"])
         if parts.path == LOG_READ_PATH:
             self.asked.append((host, query["topic"]))
-            wait = int(query.get("wait_ms", "0")) / 1000
-            most = int(query.get("max_kb", "1024")) * 1024
-            found = self.read(query["topic"], int(query["from"]), wait, most)
-            if found is None:
+            wait_seconds = int(query.get("wait_ms", "0")) / 1000
+            max_bytes = int(query.get("max_kb", "1024")) * 1024
+            batch = self.read(
+                query["topic"], int(query["from"]), wait_seconds, max_bytes
+            )
+            if batch is None:
                 return 410, b"{}"
-            told = [(query["topic"], *record) for record in found[1]]
-            self.told.setdefault(host, []).extend(told)
-            return 200, found[0]
+            delivered = [(query["topic"], *record) for record in batch[1]]
+            self.told.setdefault(host, []).extend(delivered)
+            return 200, batch[0]
         if parts.path == LOG_APPEND_PATH:
             end = query.get("current_rev")
             write = query["topic"], data, None if end is None else int(end)
             with self.condition:
-                if self.held_back is not None:
-                    self.held_back.append(write)
+                if self.delayed_writes is not None:
+                    self.delayed_writes.append(write)
                     self.condition.notify_all()
                     return 0, b""
             return self.append(*write)
--- a/src/ridgecourse_standins/platform/weights.py
+++ b/src/ridgecourse_standins/platform/weights.py
@@ -1,4 +1,4 @@
-"""Stand-ins for an engine's staging area and orders, and for the origin of weights."""
+"""Stand-ins of an engine that stages weights and of the origin of weights."""
 
 from collections.abc import Callable
 from hashlib import sha256
@@ -21,18 +21,19 @@
 )
 from ridgecourse_standins.platform.engine import now_ms
 
-Answer = tuple[int, bytes]
+StatusAndBody = tuple[int, bytes]
 LATE_SECONDS = 1.8
-"""After which a call that was given up is carried out at the latest."""
+"""Maximum time from an abandoned call to the moment when the call takes effect."""
 
 
 class HttpStandIn:
-    """An HTTP server on loopback whose answers a subclass finds.
+    """An HTTP server on loopback whose answers a subclass provides.
 
     Attributes:
-        calls: Method and target of each call so far.
-        away: Whether connections end without an answer.
-        turned_away: Connections that ended so.
+        calls: Method and request target of each call so far.
+        unreachable: Whether connections are closed without an answer.
+        dropped_connections: Number of connections closed without an answer.
+        changed: Notified after each call; also guards the state of the subclass.
     """
 
     def __init__(self, host: str = "127.0.0.1") -> None:
@@ -46,29 +47,40 @@
 
     @property
     def address(self) -> str:
-        """HOST:PORT of the server."""
+        """Address of the server as "HOST:PORT"."""
         host, port = self.server.server_address[:2]
         return f"{host!s}:{port}"
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start accepting connections."""
         self.thread.start()
 
     def close(self) -> None:
-        """Stop."""
+        """Stop the server."""
         if self.thread.is_alive():
             self.server.shutdown()
         self.server.server_close()
 
     def answer(self, method: str, path: str, query: dict[str, str], body: bytes) -> Any:
-        """Return status and body of the answer to a call."""
+        """Return status and body of the answer to a call.
+
+        Args:
+            method: HTTP method.
+            path: Path of the request target.
+            query: First value of each query parameter.
+            body: Body of the request.
+        """
         raise NotImplementedError
 
     def wait_until(self, condition: Callable[[], bool], seconds: float = 20.0) -> None:
-        """Wait until a condition holds, looking at it after each call."""
+        """Wait until a condition holds; the condition is evaluated after each call.
+
+        Raises:
+            AssertionError: The condition did not hold in time.
+        """
         with self.changed:
             if not self.changed.wait_for(condition, seconds):
-                raise AssertionError("the condition did not come about")
+                raise AssertionError("the condition did not hold in time")
 
     def _make_handler(self) -> type[BaseHTTPRequestHandler]:
         stand_in = self
@@ -88,7 +100,9 @@
                     self.close_connection = True
                     return
                 parts = urlsplit(self.path)
-                query = {name: v[0] for name, v in parse_qs(parts.query).items()}
+                query = {
+                    name: values[0] for name, values in parse_qs(parts.query).items()
+                }
                 with stand_in.changed:
                     stand_in.calls.append((self.command, self.path))
                     status, data = stand_in.answer(
@@ -109,20 +123,23 @@
 
 
 class StagingEngine(HttpStandIn):
-    """An engine that serves what was staged when it was told to start.
+    """An engine that serves the chunks that are staged when a start order arrives.
 
     Attributes:
-        layers: Layers of its model.
+        layers: Number of layers of the model.
         staged: Chunks in the staging area, by index.
-        version: Version that it serves; 0 for none.
-        started: What lay staged at each start, by version.
-        spoil: Called after each staged chunk; may turn others bad.
-        late: A chunk whose call is to be given up and carried out later; None for none.
-        late_until: When it is carried out at the latest.
-        born: Unix millisecond of its start, or whatever else it tells for that; None
-            for an engine that does not tell.
-        busy: Whether it tells that an order is under way.
-        looked_at: Called after each look at the staging area, with the index.
+        version: Version that the engine serves; 0 for none.
+        orders: Number of start orders since the engine started.
+        staged_at_start: Staged chunks at each start order, by version.
+        corrupt_staged: Called with the staged chunks after each write of a chunk; may
+            corrupt them.
+        late_chunk: A chunk whose write is answered with 504 and takes effect later;
+            None for none.
+        late_deadline: Monotonic time until which that write can take effect.
+        born: Start time in Unix milliseconds, or another value to report in its
+            place; None for an engine that does not report the time.
+        busy: Whether the engine reports an order in progress.
+        on_staging_read: Called after each read of the staging area, with the index.
     """
 
     def __init__(self, layers: int, host: str = "127.0.0.1") -> None:
@@ -140,12 +157,12 @@
         self.looked_at: Callable[[int], None] = lambda index: None
 
     def restart(self, keeps_staged: bool = True, busy: bool = False) -> None:
-        """Begin a new life under the same identity: it serves and knows nothing.
+        """Start a new incarnation with the same identity, without version or orders.
 
         Args:
-            keeps_staged: Whether the staging area is left, as after a crash; a loss of
-                power clears it.
-            busy: Whether the new life tells that an order is under way.
+            keeps_staged: Whether the staging area survives, as after a crash; a loss of
+                power clears the area.
+            busy: Whether the new incarnation reports an order in progress.
         """
         with self.changed:
             self.version = self.orders = 0
@@ -158,8 +175,8 @@
 
     def answer(
         self, method: str, path: str, query: dict[str, str], body: bytes
-    ) -> Answer:
-        """Answer a report, an order, or a call of the staging area."""
+    ) -> StatusAndBody:
+        """Answer a report request, a start order or a call to the staging area."""
         if path == REPORT_PATH:
             return 200, encode(self.describe())
         if path == ORDER_PATH:
@@ -178,7 +195,7 @@
         return 404, b""
 
     def describe(self) -> dict[str, Any]:
-        """Return the fields of its report."""
+        """Return the fields of the report of the engine."""
         report: dict[str, Any] = {"utilization": self.busy, "sequence": self.orders}
         if self.born is not None:
             report["born"] = self.born
@@ -190,10 +207,11 @@
             }
         return report
 
-    def _start(self, order: dict[str, Any]) -> Answer:
+    def _start(self, order: dict[str, Any]) -> StatusAndBody:
         self.orders += 1
         if self.late is not None and monotonic() < self.late_until:
-            # At the worst moment: after the last look at what lies staged.
+            # The late write takes effect at the worst moment: after the last check of
+            # the staged chunks.
             self.staged[0] = self.late
         self.busy = False
         self.version = order["version"]
@@ -206,9 +224,11 @@
 
     Attributes:
         versions: Chunks of each version.
-        spoilt: Chunks that come wrong the next time, as version and index.
-        hold_after: Chunks sent until others are held back; None for no limit.
-        sent: Chunks sent so far.
+        corrupt_chunks: Chunks that are sent corrupted the next time, as version and
+            index.
+        send_limit: Number of chunks after which further chunks are held back; None for
+            no limit.
+        sent: Number of chunks sent so far.
     """
 
     def __init__(self) -> None:
@@ -219,15 +239,15 @@
         self.sent = 0
 
     def release(self) -> None:
-        """Send the chunks that were held back."""
+        """Remove the limit and send the chunks that were held back."""
         with self.changed:
             self.hold_after = None
             self.changed.notify_all()
 
     def answer(
         self, method: str, path: str, query: dict[str, str], body: bytes
-    ) -> Answer:
-        """Answer with a manifest or a chunk."""
+    ) -> StatusAndBody:
+        """Answer with a manifest or a chunk; unknown versions are answered with 410."""
         version = int(query["version"])
         chunks = self.versions.get(version)
         if chunks is None:
--- a/src/ridgecourse_standins/ports.py
+++ b/src/ridgecourse_standins/ports.py
@@ -1,8 +1,8 @@
-"""Free ports on loopback, below the range of outgoing connections.
+"""Allocates free ports on loopback, below the range of outgoing connections.
 
-The range is divided into blocks, and a process takes its ports from a block that no
-other process has. So runs of tests beside each other never give out the same port,
-whichever of the loopback addresses they use it on.
+The range is divided into blocks, and each process takes its ports from a block that no
+other process has claimed. Concurrent test runs therefore never allocate the same port,
+whichever of the loopback addresses they use the port on.
 """
 
 import socket
@@ -12,54 +12,58 @@
 FIRST_PORT = 10_000
 LAST_PORT = 32_000
 BLOCK_PORTS = 1_000
-"""Ports of a block; the first one is the guard, held by the process that has it."""
+"""Number of ports in a block.
+
+The first port is the guard, which the process that claimed the block keeps bound.
+"""
 
 
 class PortBlock:
-    """The ports that this process alone gives out.
+    """A block of ports that only this process allocates.
 
     Attributes:
-        guard: Bound to the first port for as long as the process lives.
+        guard: Socket bound to the first port until the process ends.
+        ports: The other ports of the block, repeated endlessly.
     """
 
     def __init__(self) -> None:
         self.guard = socket.socket()
-        first = self._claim()
-        self.numbers = cycle(range(first + 1, first + BLOCK_PORTS))
+        first_port = self._claim()
+        self.ports = cycle(range(first_port + 1, first_port + BLOCK_PORTS))
 
     def _claim(self) -> int:
-        """Bind the guard of a block that nobody has; return its port.
+        """Bind the guard of an unclaimed block; return the port of the guard.
 
         Raises:
-            OSError: All blocks are taken.
+            OSError: All blocks are claimed.
         """
-        for first in range(FIRST_PORT, LAST_PORT, BLOCK_PORTS):
+        for first_port in range(FIRST_PORT, LAST_PORT, BLOCK_PORTS):
             try:
-                self.guard.bind(("127.0.0.1", first))
+                self.guard.bind(("127.0.0.1", first_port))
             except OSError:
                 continue
-            return first
-        raise OSError("all blocks of ports are taken")
+            return first_port
+        raise OSError("all port blocks are claimed by other processes")
 
 
 @cache
-def own_block() -> PortBlock:
-    """Return the block of this process, claimed when first needed."""
+def process_block() -> PortBlock:
+    """Return the block of this process; the first call claims the block."""
     return PortBlock()
 
 
 def free_port() -> int:
-    """Return a port that nothing listens on now."""
-    for port in own_block().numbers:
+    """Return a port that no socket is bound to on 127.0.0.1."""
+    for port in process_block().ports:
         with socket.socket() as probe:
             try:
                 probe.bind(("127.0.0.1", port))
             except OSError:
                 continue
         return port
-    raise AssertionError("a cycle has no end")
+    raise AssertionError("itertools.cycle never ends")
 
 
 def free_address(host: str = "127.0.0.1") -> str:
-    """Return HOST:PORT with a free port."""
+    """Return "HOST:PORT" with a free port."""
     return f"{host}:{free_port()}"
--- a/src/ridgecourse_standins/relay.py
+++ b/src/ridgecourse_standins/relay.py
@@ -1,8 +1,8 @@
-"""Relays before processes, so that tests can cut domains off from each other.
+"""Relays in front of processes, which let tests partition domains from each other.
 
-A relay forwards connections to one process. It knows the side that a connection
-comes from by its source address, since every domain's processes send from an
-address of their own, and closes what crosses a cut.
+A relay forwards connections to one process. The relay finds the side that a connection
+comes from by the source address, because the processes of each domain connect from an
+address of their own. The relay closes connections that cross a cut.
 """
 
 import ridgecourse.net.patch  # noqa: F401, I001
@@ -27,9 +27,9 @@
     """A relayed address.
 
     Attributes:
-        side: The domain, or "platform", that the process behind is in.
-        listen: Where connections come in.
-        forward: Where they go.
+        side: Domain of the process behind the relay, or "platform".
+        listen: Address at which the relay accepts connections.
+        forward: Address of the process.
     """
 
     side: str
@@ -38,23 +38,25 @@
 
 
 class Relays:
-    """All relays of a deployment, and which sides are cut from each other.
+    """All relays of a deployment and the cuts between sides.
 
     Attributes:
         sides: Side by source address.
-        cuts: Pairs of sides between which nothing passes.
+        cuts: Pairs of sides between which connections are closed.
+        open_connections: Forwarded connections: the two sides, the socket to the client
+            and the socket to the process.
     """
 
     def __init__(self) -> None:
         self.sides: dict[str, str] = {}
         self.cuts: set[frozenset[str]] = set()
-        self.open: list[tuple[frozenset[str], Any, Any]] = []
+        self.open_connections: list[tuple[frozenset[str], Any, Any]] = []
         self.router = HttpRouter()
         self.router.add("POST", "/routes", self.add_routes)
         self.router.add("POST", "/cuts", self.set_cuts)
 
     def add_routes(self, request: HttpRequest) -> HttpReply:
-        """Start relays: ``{"sides": {...}, "routes": [[side, listen, to]]}``."""
+        """Start relays: ``{"sides": {...}, "routes": [[side, listen, forward]]}``."""
         body = decode(request.read_body(MAX_BODY_BYTES))
         self.sides.update(body["sides"])
         for route in [Route(*fields) for fields in body["routes"]]:
@@ -63,13 +65,13 @@
         return json_reply({"relays": len(body["routes"])})
 
     def set_cuts(self, request: HttpRequest) -> HttpReply:
-        """Set which pairs of sides are cut; what is open between them is closed."""
+        """Set which pairs of sides are cut, and close the connections between them."""
         pairs = decode(request.read_body(MAX_BODY_BYTES))
         self.cuts = {frozenset(pair) for pair in pairs}
-        for pair, first, second in list(self.open):
+        for pair, client, upstream in list(self.open_connections):
             if pair in self.cuts:
-                shut(first)
-                shut(second)
+                shut_down(client)
+                shut_down(upstream)
         return json_reply({"cuts": len(self.cuts)})
 
     def _accept(self, listener: Any, route: Route) -> None:
@@ -85,31 +87,31 @@
             connection.close()
             return
         try:
-            behind = eventlet.connect(parse_address(route.forward))
+            upstream = eventlet.connect(parse_address(route.forward))
         except OSError:
             connection.close()
             return
-        entry = (pair, connection, behind)
-        self.open.append(entry)
-        back = eventlet.spawn(pump, behind, connection)
-        pump(connection, behind)
-        back.wait()
-        self.open.remove(entry)
+        forwarded = (pair, connection, upstream)
+        self.open_connections.append(forwarded)
+        return_copy = eventlet.spawn(copy_bytes, upstream, connection)
+        copy_bytes(connection, upstream)
+        return_copy.wait()
+        self.open_connections.remove(forwarded)
         connection.close()
-        behind.close()
+        upstream.close()
 
 
-def pump(source: Any, sink: Any) -> None:
-    """Copy bytes until either end ends, then end both."""
+def copy_bytes(source: Any, destination: Any) -> None:
+    """Copy bytes until either connection ends, then shut both down."""
     with suppress(OSError):
         while data := source.recv(READ_BYTES):
-            sink.sendall(data)
-    shut(source)
-    shut(sink)
+            destination.sendall(data)
+    shut_down(source)
+    shut_down(destination)
 
 
-def shut(connection: Any) -> None:
-    """End a connection; whoever reads it closes it."""
+def shut_down(connection: Any) -> None:
+    """Shut a connection down; the reader of the connection closes the socket."""
     with suppress(OSError):
         connection.shutdown(SHUT_RDWR)
 
--- a/src/ridgecourse_standins/service.py
+++ b/src/ridgecourse_standins/service.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: a command line, a server, a way to set faults."""
+"""Common parts of the stand-ins: command line, HTTP server and settable faults."""
 
 import sys
 from argparse import ArgumentParser, Namespace
@@ -14,10 +14,12 @@
 
 
 class Faults:
-    """Switches that tests set over ``POST /faults``.
+    """Named faults that tests set with ``POST /faults``.
+
+    Each fault can also be read as an attribute.
 
     Attributes:
-        values: Present values by name.
+        values: Current values by name.
     """
 
     def __init__(self, **values: Any) -> None:
@@ -30,7 +32,7 @@
             raise AttributeError(name) from error
 
     def set(self, request: HttpRequest) -> HttpReply:
-        """Take new values from a request; unknown names are an error."""
+        """Set the values in the request body; unknown names are answered with 400."""
         values = decode(request.read_body(MAX_FAULT_BYTES))
         unknown = set(values) - set(self.values)
         if unknown:
@@ -38,8 +40,8 @@
         self.values.update(values)
         return HttpReply(200, encode(self.values))
 
-    def spend(self, name: str) -> bool:
-        """Use up one of a counted fault; tell whether there was one."""
+    def consume(self, name: str) -> bool:
+        """Decrement a counted fault; return whether the count was positive."""
         if self.values[name] <= 0:
             return False
         self.values[name] -= 1
@@ -52,18 +54,22 @@
 
 
 def make_parser(description: str) -> ArgumentParser:
-    """Return the parser of a stand-in's arguments."""
+    """Return the argument parser of a stand-in."""
     parser = ArgumentParser(description=description)
     parser.add_argument("--listen", default="127.0.0.1:0", help="HOST:PORT")
     return parser
 
 
 def serve(arguments: Namespace, *routers: HttpRouter) -> int:
-    """Serve until ended; a line of output for each router tells its address.
+    """Serve routers until the process ends.
+
+    For each router, a line of JSON with the listening address is written to the
+    standard output.
 
     Args:
-        arguments: ``listen`` names an address for each router, by commas.
-        routers: What to serve.
+        arguments: Parsed arguments; ``listen`` has an address for each router,
+            separated by commas.
+        routers: Routers to serve, each at an address of its own.
     """
     for address, router in zip(arguments.listen.split(","), routers, strict=True):
         server = HttpServer(parse_address(address), router)
