--- a/src/ridgecourse_standins/cluster.py
+++ b/src/ridgecourse_standins/cluster.py
@@ -1,6 +1,6 @@
 """Starts a complete deployment on loopback: stand-ins, entries and agents.
 
-Each of them runs as a process of its own. Tests, the demo and benchmarks start
+Each stand-in, entry and agent runs as a process. Tests, the demo and benchmarks start
 deployments, set faults in the stand-ins and partition the failure domains.
 """
 
@@ -84,7 +84,7 @@
     """Starts, controls and ends a deployment.
 
     Attributes:
-        plan: The processes to start, and settings of them.
+        plan: Processes to start and settings of the processes.
         directory: Directory of the settings, events and logs.
         models: Directory with one subdirectory for each version.
         pool: HTTP connections to the processes.
@@ -418,7 +418,7 @@
         self.join(second)
         return second
 
-    def is_answering(self, node: Node) -> bool:
+    def answers(self, node: Node) -> bool:
         """Check whether a process answers a status request."""
         return self.get_json(node.http, "/status")["process"] != ""
 
--- a/src/ridgecourse_standins/demo.py
+++ b/src/ridgecourse_standins/demo.py
@@ -35,13 +35,13 @@
     Attributes:
         cluster: The deployment.
         size: Size of each version in bytes.
-        caller: Client that sends the requests and checks the answers.
+        client: Client that sends the requests and checks the answers.
     """
 
     def __init__(self, cluster: Cluster, size: int) -> None:
         self.cluster = cluster
         self.size = size
-        self.caller = Caller([], FLEET, "")
+        self.client = Caller([], FLEET, "")
 
     def run_ctl(self, *arguments: str) -> dict[str, Any]:
         """Run ``ridgecourse-ctl`` and return the JSON of its last line of output.
@@ -71,7 +71,7 @@
             *("--directory", str(directory)),
             *("--chunk-bytes", str(max(1024, self.size // 64))),
         )
-        return self.caller.know(directory)
+        return self.client.know(directory)
 
     def roll_out(self, version: str) -> float:
         """Place a version, wait until all targets serve it, and return the seconds."""
@@ -87,8 +87,8 @@
         self.run_ctl("service", "create", FLEET, PLAIN_SERVICE, "--kind", "plain")
         for node in self.cluster.agents:
             self.cluster.join(node)
-        self.caller.key = self.cluster.account("shop")
-        self.caller.entries = [node.http for node in self.cluster.entries]
+        self.client.key = self.cluster.account("shop")
+        self.client.entries = [node.http for node in self.cluster.entries]
 
     def run(self) -> dict[str, Any]:
         """Run the complete demo and return the summary."""
@@ -97,8 +97,8 @@
         print(f"version 1 served by all after {self.roll_out('v1'):.2f} s")
         second_root = self.publish("v2", seed=2)
         loads = [
-            Load(self.caller, MODEL_SERVICE, 40, repeatable=True),
-            Load(self.caller, PLAIN_SERVICE, 10, workers=8),
+            Load(self.client, MODEL_SERVICE, 40, repeatable=True),
+            Load(self.client, PLAIN_SERVICE, 10, workers=8),
         ]
         for load in loads:
             load.start()
@@ -117,7 +117,7 @@
             root: Root digest of the second version.
             seconds: Duration of the second rollout.
         """
-        history = self.caller.history
+        history = self.client.history
         outcomes = Counter(answer.outcome for answer in history)
         origin = self.cluster.get_json(self.cluster.addresses["origin"], "/counts")
         sent = origin["sent"].get("writer-v2", 0)
--- a/src/ridgecourse_standins/managed.py
+++ b/src/ridgecourse_standins/managed.py
@@ -123,9 +123,7 @@
             if len(matching) > after:
                 return matching[after]
             if self.running.poll() is not None:
-                raise ProcessFailed(
-                    f"{self.name} ended unexpectedly: {self.log_tail()}"
-                )
+                raise ProcessFailed(f"{self.name} ended: {self.log_tail()}")
             sleep(POLL_SECONDS)
         raise ProcessFailed(
             f"{self.name} wrote no {kind} event in time: {self.log_tail()}"
@@ -143,9 +141,7 @@
                 if "listening" in event:
                     return event["listening"]
             if self.running.poll() is not None:
-                raise ProcessFailed(
-                    f"{self.name} ended unexpectedly: {self.log_tail()}"
-                )
+                raise ProcessFailed(f"{self.name} ended: {self.log_tail()}")
             sleep(POLL_SECONDS)
         raise ProcessFailed(f"{self.name} did not listen in time: {self.log_tail()}")
 
--- a/src/ridgecourse_standins/platform/engine.py
+++ b/src/ridgecourse_standins/platform/engine.py
@@ -169,11 +169,11 @@
             with self.changed:
                 self.requests.append(request)
                 self.changed.notify_all()
-            Thread(target=self._watch, args=(request,), daemon=True).start()
+            Thread(target=self._wait_for_close, args=(request,), daemon=True).start()
             self.resumed.wait()
             self.behaviour(request)
 
-    def _watch(self, request: ReceivedRequest) -> None:
+    def _wait_for_close(self, request: ReceivedRequest) -> None:
         with suppress(OSError):
             while request.connection.recv(4096):
                 pass
@@ -278,6 +278,7 @@
 def reset(request: ReceivedRequest) -> None:
     """Close the connection of a request with a TCP reset."""
     request.connection.setsockopt(SOL_SOCKET, SO_LINGER, pack("ii", 1, 0))
-    # Wakes the thread in ``_watch``, which would otherwise keep the connection open.
+    # Wakes the thread in ``_wait_for_close``, which would otherwise keep the
+    # connection open.
     request.connection.shutdown(SHUT_RD)
     request.connection.close()
--- a/src/ridgecourse_standins/platform/store.py
+++ b/src/ridgecourse_standins/platform/store.py
@@ -111,9 +111,9 @@
         self.link = Link()
         self.sending_count = 0
         self.most_sending = 0
-        self.reader_rates: dict[str, float] = {}
-        self.refused_readers: set[str] = set()
-        self.answer_delay_seconds = 0.0
+        self.narrow: dict[str, float] = {}
+        self.turned_away: set[str] = set()
+        self.answer_seconds = 0.0
         self.named_at: dict[tuple[str, int], float] = {}
         self.calls = 0
         self.condition = Condition()
@@ -301,8 +301,8 @@
         length = int(handler.headers.get("Content-Length", "0"))
         host = handler.client_address[0]
         status, body = self._handle(host, handler.path, handler.rfile.read(length))
-        sleep(self.answer_delay_seconds)
-        if self.mode is StoreMode.DOWN or host in self.refused_readers:
+        sleep(self.answer_seconds)
+        if self.mode is StoreMode.DOWN or host in self.turned_away:
             status, body = 503, b""
         if status == 0:
             handler.close_connection = True
@@ -315,7 +315,7 @@
 
     def _send(self, handler: BaseHTTPRequestHandler, body: bytes) -> None:
         """Send a body at the rate of the link to the reader."""
-        reader_rate = self.reader_rates.get(handler.client_address[0])
+        reader_rate = self.narrow.get(handler.client_address[0])
         rate = reader_rate or self.bytes_per_s
         if rate is None:
             handler.wfile.write(body)
--- a/src/ridgecourse_standins/platform/weights.py
+++ b/src/ridgecourse_standins/platform/weights.py
@@ -132,10 +132,10 @@
         orders: Number of start orders since the engine started.
         staged_at_start: Staged chunks at each start order, by version.
         corrupt_staged: Called with the staged chunks after each write of a chunk; may
-            corrupt them.
+            corrupt chunks.
         late_chunk: A chunk whose write is answered with 504 and takes effect later;
             None for none.
-        late_deadline: Monotonic time until which that write can take effect.
+        late_deadline: Monotonic time until which the late write can take effect.
         born: Start time in Unix milliseconds, or another value to report in its
             place; None for an engine that does not report the time.
         busy: Whether the engine reports an order in progress.
