--- a/src/ridgecourse_standins/relay.py
+++ b/src/ridgecourse_standins/relay.py
@@ -65,7 +65,7 @@
         return json_reply({"relays": len(body["routes"])})
 
     def set_cuts(self, request: HttpRequest) -> HttpReply:
-        """Set which pairs of sides are cut, and close open connections between cut sides."""
+        """Set which pairs of sides are cut; close the connections between cut sides."""
         pairs = decode(request.read_body(MAX_BODY_BYTES))
         self.cuts = {frozenset(pair) for pair in pairs}
         for pair, client, upstream in list(self.open_connections):
