--- a/src/ridgecourse_standins/caller.py
+++ b/src/ridgecourse_standins/caller.py
@@ -29,7 +29,8 @@
         outcome: The outcome that the entry reported; "unknown" if the connection
             broke, "not-run" if the connection was never established.
         reason: The reason that the entry reported, or the connection error.
-        correct: Whether the request completed with exactly the expected answer.
+        correct: Whether the request completed and, for a streamed answer, whether the
+            tokens match the weights of the version.
         seconds: Time from sending the request to the end of the answer.
         version: Root digest of the version that computed the answer.
         body: Body of the request.
