--- a/src/bench/baseline_entry.py
+++ b/src/bench/baseline_entry.py
@@ -29,5 +29,5 @@
 
 if __name__ == "__main__":
     Router.choose_within = choose_at_random  # type: ignore[method-assign]
-    RetryBudget.take_retry = always_retry  # type: ignore[method-assign]
+    RetryBudget.spend_retry = always_retry  # type: ignore[method-assign]
     sys.exit(main())
--- a/src/bench/config.py
+++ b/src/bench/config.py
@@ -16,7 +16,7 @@
     """Submit changes; return the offset and time of acceptance of each change."""
     accepted = []
     for weight in range(1, CHANGE_COUNT + 1):
-        reply = cluster.admin(
+        reply = cluster.call_admin(
             "SetTraffic",
             weight % len(cluster.entries),
             fleet=FLEET,
@@ -80,7 +80,7 @@
     accepted = submit_changes(cluster)
     end_offset = accepted[-1][0] + 1
     for node in [*cluster.entries, *cluster.agents]:
-        cluster.wait(
+        cluster.wait_until(
             f"{node.managed.name} has reached offset {end_offset}",
             lambda node=node: cluster.status(node)["offset"] >= end_offset,  # type: ignore[misc]
         )
--- a/src/bench/control.py
+++ b/src/bench/control.py
@@ -54,7 +54,7 @@
 def read_usage(cluster: Cluster, node: Node) -> ResourceUsage:
     """Return the current resource usage of a process."""
     status = cluster.status(node)
-    process = psutil.Process(node.managed.running.pid)
+    process = psutil.Process(node.managed.started_process.pid)
     cpu_times = process.cpu_times()
     memory = process.memory_info().rss
     return ResourceUsage(cpu_times.user + cpu_times.system, memory, status, monotonic())
@@ -98,7 +98,7 @@
 
 def wait_for_offset(cluster: Cluster, node: Node, offset: int) -> None:
     """Wait until a process has applied the log up to an offset, for at most 120.0 s."""
-    cluster.wait(
+    cluster.wait_until(
         f"{node.managed.name} has reached offset {offset}",
         lambda: cluster.status(node)["offset"] >= offset,
         120.0,
@@ -118,7 +118,7 @@
     before = [read_usage(cluster, node) for node in nodes]
     offset = before[0].status["offset"]
     for weight in range(1, CHANGE_COUNT + 1):
-        cluster.admin(
+        cluster.call_admin(
             "SetTraffic", fleet=FLEET, service=MODEL_SERVICE, weights={"a": weight}
         )
     for node in nodes:
@@ -198,7 +198,7 @@
             with cluster:
                 cluster.set_up()
                 entry = cluster.entries[0]
-                cluster.wait(
+                cluster.wait_until(
                     "all agents are linked",
                     lambda cluster=cluster, entry=entry, count=count: (  # type: ignore[misc]
                         cluster.status(entry)["links"] == count
--- a/src/bench/fairness.py
+++ b/src/bench/fairness.py
@@ -15,7 +15,7 @@
     p99,
     serving_deployment,
 )
-from ridgecourse_standins.caller import Answer
+from ridgecourse_standins.client import Answer
 
 SMALL_ACCOUNTS = 9
 SMALL_SHARE = 0.03
@@ -45,7 +45,7 @@
     """
     names = [f"small{number}" for number in range(SMALL_ACCOUNTS)]
     for name in [*names, "large"]:
-        bench.cluster.account(name)
+        bench.cluster.create_account(name)
     rates = dict.fromkeys(names, SMALL_SHARE * max_rate)
     isolated_answers = answers_to_small_accounts(
         bench.measure(rates, deadline=DEADLINE)
--- a/src/bench/idle.py
+++ b/src/bench/idle.py
@@ -19,8 +19,8 @@
 from msgspec.json import encode
 
 from bench.result import print_result
-from ridgecourse_standins.managed import Managed
-from ridgecourse_standins.platform.site import (
+from ridgecourse_standins.managed_process import ManagedProcess
+from ridgecourse_standins.platform.sample_settings import (
     LAYERS,
     make_config,
     make_engine_entry,
@@ -55,11 +55,11 @@
         self.max_active = max_active
         self.poll_count = 0
 
-    def describe(self) -> dict[str, Any]:
+    def make_report(self) -> dict[str, Any]:
         """Return the fields of the engine's report."""
         self.poll_count += 1
         active = self.max_active - self.poll_count % 3 if self.max_active else 0
-        return {**super().describe(), "active": active}
+        return {**super().make_report(), "active": active}
 
 
 class Site:
@@ -113,7 +113,9 @@
         self.stopped = Event()
         self.heartbeat_thread = Thread(target=self._write_heartbeats, daemon=True)
 
-    def _make_process(self, role: str, host: str, **extra_settings: Any) -> Managed:
+    def _make_process(
+        self, role: str, host: str, **extra_settings: Any
+    ) -> ManagedProcess:
         settings = make_settings(
             self.store.address,
             node_name=host,
@@ -128,7 +130,7 @@
         if self.profile:
             output = self.directory / f"{role}-{host}.profile"
             command = ["-m", "cProfile", "-o", str(output), *command]
-        return Managed(host, command, self.directory)
+        return ManagedProcess(host, command, self.directory)
 
     def start(self) -> None:
         """Start all processes and wait until each loader knows all gateways."""
@@ -144,7 +146,7 @@
                 "gateways-known", after=len(self.processes["gateway"]) - 1
             )
 
-    def all_processes(self) -> Iterator[Managed]:
+    def all_processes(self) -> Iterator[ManagedProcess]:
         """Yield all processes."""
         for processes in self.processes.values():
             yield from processes
@@ -171,9 +173,9 @@
         self.store.close()
 
 
-def processor_seconds(process: Managed) -> float:
+def processor_seconds(process: ManagedProcess) -> float:
     """Return the processor time that a process has used, in seconds."""
-    stat_line = Path(f"/proc/{process.running.pid}/stat").read_text()
+    stat_line = Path(f"/proc/{process.started_process.pid}/stat").read_text()
     user, system = stat_line.rpartition(")")[2].split()[11:13]
     return (int(user) + int(system)) / TICKS_PER_SECOND
 
--- a/src/bench/placement.py
+++ b/src/bench/placement.py
@@ -27,21 +27,25 @@
 
 from msgspec import structs
 
-from bench.engine_passes import PassEngine, SimulatedRequest
 from bench.result import print_result, quantile
+from bench.simulated_engine import SimulatedEngine, SimulatedRequest
+from ridgecourse.core.client_timeout import UsualClientTimeout
 from ridgecourse.core.engine_load import (
     EngineLoad,
     EngineStatus,
-    Pending,
-    UnreadEstimate,
-    prompt_seconds,
+    PendingRequest,
+    PrefillBacklogEstimate,
+    prefill_seconds,
 )
-from ridgecourse.core.first_events import FirstEventDelay
+from ridgecourse.core.first_event_delay import FirstEventDelay
 from ridgecourse.core.ids import ModelName, Seconds, WeightsVersion
-from ridgecourse.core.letting_in import Prospect, excess_wait
-from ridgecourse.core.patience import UsualPatience
-from ridgecourse.core.placement import FIRST_EVENT_SECONDS, SENDERS, placement_cost
-from ridgecourse.core.retry import come_back_seconds
+from ridgecourse.core.load_shedding import AdmissionEstimate, excess_wait
+from ridgecourse.core.placement import (
+    ASSUMED_SENDERS,
+    FIRST_EVENT_SECONDS,
+    placement_cost,
+)
+from ridgecourse.core.retry import retry_delay_seconds
 from ridgecourse.core.routes import EngineModel
 
 MODEL = EngineModel(
@@ -62,7 +66,7 @@
 OBJECTIVE_SECONDS = 0.4
 SHORT_OBJECTIVE_SECONDS = 0.3
 """Latency objectives of the two classes of requests."""
-LOOK_SECONDS = 0.1
+POLL_SECONDS = 0.1
 """Interval at which a loader polls its engine."""
 TIMEOUT_SECONDS = 6.0
 """Total time that a typical client waits for an answer."""
@@ -88,7 +92,7 @@
     domain: int
     loads: list[EngineLoad]
     delay: FirstEventDelay = field(default_factory=FirstEventDelay)
-    patience: UsualPatience = field(default_factory=UsualPatience)
+    patience: UsualClientTimeout = field(default_factory=UsualClientTimeout)
 
 
 @dataclass
@@ -111,18 +115,18 @@
     """
 
     policy: str
-    engines: list[PassEngine]
+    engines: list[SimulatedEngine]
     gateways: list[Gateway]
     random: Random
-    estimates: list[UnreadEstimate] = field(default_factory=list)
-    done: list[SimulatedRequest] = field(default_factory=list)
+    estimates: list[PrefillBacklogEstimate] = field(default_factory=list)
+    requests: list[SimulatedRequest] = field(default_factory=list)
     events: list[tuple[float, int, Callable[[float], None]]] = field(
         default_factory=list
     )
     sequence: Iterator[int] = field(default_factory=count)
     senders: dict[int, Gateway] = field(default_factory=dict)
     short_share: float = 0.0
-    patience_spread: float = 0.0
+    timeout_spread: float = 0.0
 
     def schedule(self, time: float, action: Callable[[float], None]) -> None:
         """Schedule an action at a time."""
@@ -135,12 +139,12 @@
             seconds: Duration of the traffic.
             rate: Request rate, in requests per second.
         """
-        self.estimates = [UnreadEstimate() for _ in self.engines]
+        self.estimates = [PrefillBacklogEstimate() for _ in self.engines]
         time = 0.0
         while (time := time + self.random.expovariate(rate)) < seconds:
             self.schedule(time, self.send_new_request)
         for index in range(len(self.engines)):
-            self.schedule(self.random.random() * LOOK_SECONDS, self.make_poll(index, 0))
+            self.schedule(self.random.random() * POLL_SECONDS, self.make_poll(index, 0))
         while self.events:
             time, _, action = heappop(self.events)
             if time > seconds + 5.0:
@@ -154,42 +158,42 @@
         is_short = self.random.random() < self.short_share
         objective = SHORT_OBJECTIVE_SECONDS if is_short else OBJECTIVE_SECONDS
         client_timeout = TIMEOUT_SECONDS
-        if self.patience_spread:
-            client_timeout *= 1 + self.patience_spread * self.random.uniform(-1.0, 1.0)
+        if self.timeout_spread:
+            client_timeout *= 1 + self.timeout_spread * self.random.uniform(-1.0, 1.0)
         request = SimulatedRequest(
             now, prompt_tokens, answer_tokens, objective, client_timeout
         )
-        self.done.append(request)
+        self.requests.append(request)
         self.send(request, now)
 
     def send(self, request: SimulatedRequest, now: float) -> None:
         """Dispatch a request to the engine that a gateway chooses, or refuse it."""
         gateway = self.random.choice(self.gateways)
         index, wait = self.choose_engine(gateway, Seconds(now))
-        prefill_seconds = prompt_seconds(MODEL, request.prompt_tokens)
+        prefill = prefill_seconds(MODEL, request.prompt_tokens)
         delay, waited = 0.0, 0.0
         if self.policy in ("observed", "spare"):
-            delay = gateway.delay.expect(Seconds(now))
-        time_left = request.client_timeout - (now - request.arrived)
+            delay = gateway.delay.expected_delay(Seconds(now))
+        time_left = request.client_timeout - (now - request.arrived_at)
         if self.policy == "spare":
             waited = gateway.patience.observe(time_left)
-        occupancy = gateway.loads[index].requests(now, SENDERS) / MODEL.slots
-        prospect = Prospect(
-            request.objective, waited, wait, prefill_seconds, occupancy, delay
+        occupancy = gateway.loads[index].requests(now, ASSUMED_SENDERS) / MODEL.slots
+        prospect = AdmissionEstimate(
+            request.objective, waited, wait, prefill, occupancy, delay
         )
         excess = excess_wait(prospect)
         if self.policy != "random" and excess is not None:
             request.refusal_count += 1
             if request.refusal_count == 1:
-                retry_at = now + come_back_seconds(excess, time_left, self.random)
+                retry_at = now + retry_delay_seconds(excess, time_left, self.random)
                 self.schedule(retry_at, lambda time: self.send(request, time))
             return
         request.dispatched_at = now
-        request.expected_delay = wait + prefill_seconds + FIRST_EVENT_SECONDS
-        counted_seconds = 0.0 if self.policy == "count" else prefill_seconds
+        request.expected_delay = wait + prefill + FIRST_EVENT_SECONDS
+        counted_seconds = 0.0 if self.policy == "count" else prefill
         self.senders[id(request)] = gateway
         load = gateway.loads[index]
-        load.waiting[str(id(request))] = Pending(Seconds(now), counted_seconds)
+        load.pending[str(id(request))] = PendingRequest(Seconds(now), counted_seconds)
         load.outstanding += 1
         was_idle = self.engines[index].pass_end is None
         self.engines[index].enqueue(request, now)
@@ -208,7 +212,7 @@
         costs = []
         for index in available:
             load = gateway.loads[index]
-            wait = load.wait(MODEL, MODEL.slots, now, SENDERS)
+            wait = load.wait(MODEL, MODEL.slots, now, ASSUMED_SENDERS)
             is_local = index % DOMAINS == gateway.domain
             cost = placement_cost(load, wait, MODEL.slots, is_local, now, self.random)
             costs.append((cost, index, wait))
@@ -236,7 +240,7 @@
         engine = self.engines[index]
         waiting_ids = {str(id(request)) for request in engine.prefilling + engine.queue}
         for gateway in self.gateways:
-            waiting = gateway.loads[index].waiting
+            waiting = gateway.loads[index].pending
             for request_id in [
                 request_id for request_id in waiting if request_id not in waiting_ids
             ]:
@@ -257,13 +261,13 @@
                 WeightsVersion(1), False, len(engine.queue), engine.active, 0, 1
             )
             requests = len(engine.queue) + engine.active
-            unread = self.estimates[index].look(MODEL, requests, Seconds(now))
+            unread = self.estimates[index].update(MODEL, requests, Seconds(now))
             if self.policy != "count":
-                status = structs.replace(status, unread=unread)
+                status = structs.replace(status, prefill_backlog=unread)
             for gateway in self.gateways:
                 if index % DOMAINS == gateway.domain or poll_number % 2 == 0:
-                    gateway.loads[index].report(status, Seconds(now))
-            self.schedule(now + LOOK_SECONDS, self.make_poll(index, poll_number + 1))
+                    gateway.loads[index].record_report(status, Seconds(now))
+            self.schedule(now + POLL_SECONDS, self.make_poll(index, poll_number + 1))
 
         return poll
 
@@ -276,14 +280,14 @@
         0.0,
         *(1.0 + 0.4 * number for number in range(arguments.engines - 2)),
     ]
-    engines = [PassEngine(MODEL, available_at) for available_at in start_times]
+    engines = [SimulatedEngine(MODEL, available_at) for available_at in start_times]
     gateways = [
         Gateway(number % DOMAINS, [EngineLoad() for _ in engines])
         for number in range(arguments.gateways)
     ]
     simulation = Simulation(policy, engines, gateways, random, short_share=short_share)
     simulation.run(arguments.seconds, arguments.rate)
-    requests = simulation.done
+    requests = simulation.requests
     delays = [
         request.first_event - request.dispatched_at
         for request in requests
@@ -321,7 +325,7 @@
         return REFUSED_AGAIN_CREDIT
     if request.first_event is None:
         return 0.0
-    is_late = request.first_event - request.arrived > request.objective
+    is_late = request.first_event - request.arrived_at > request.objective
     return LATE_CREDIT if is_late else 1.0
 
 
--- a/src/bench/rollout.py
+++ b/src/bench/rollout.py
@@ -14,7 +14,7 @@
 
 from bench.result import print_result, quantile
 from ridgecourse.ctl.publish import make_manifest, write_manifest
-from ridgecourse_standins.caller import Answer, Caller, Load
+from ridgecourse_standins.client import Answer, LoadGenerator, VerifyingClient
 from ridgecourse_standins.cluster import FLEET, MODEL_SERVICE, Cluster, Node, Plan
 from ridgecourse_standins.models import make_version
 
@@ -74,7 +74,7 @@
     def __init__(self, cluster: Cluster, arguments: Namespace) -> None:
         self.cluster = cluster
         self.arguments = arguments
-        self.caller = Caller([], FLEET, "")
+        self.caller = VerifyingClient([], FLEET, "")
         self.one_copy_seconds = arguments.size / arguments.link
         self.placed_at = 0.0
         self.killed: Node | None = None
@@ -87,7 +87,7 @@
             directory, self.arguments.size, base_seed + seed, 4, base_seed + 1, shared
         )
         root = self.write_version_manifest(directory)
-        self.cluster.change(
+        self.cluster.make_change(
             "PublishVersion",
             model="writer",
             version=version,
@@ -102,22 +102,24 @@
         chunk_bytes = max(1024, self.arguments.size // self.arguments.chunks)
         manifest = make_manifest(directory, chunk_bytes, lambda _: None).unwrap()
         write_manifest(directory, manifest)
-        return self.caller.know(directory)
+        return self.caller.add_version(directory)
 
     def run(self) -> dict[str, Any]:
         """Set up the deployment, run the rollout and return the results."""
         cluster = self.cluster
         cluster.set_up()
-        self.caller.key = cluster.account("bench")
+        self.caller.key = cluster.create_account("bench")
         self.caller.entries = [node.http for node in cluster.entries]
         before: list[Answer] = []
-        load: Load | None = None
+        load: LoadGenerator | None = None
         if self.arguments.requests or self.arguments.shared:
             initial_root = self.publish("v1", 1)
-            cluster.change("Place", service=MODEL_SERVICE, model="writer", version="v1")
+            cluster.make_change(
+                "Place", service=MODEL_SERVICE, model="writer", version="v1"
+            )
             cluster.wait_serving(initial_root, 30 + 10 * self.one_copy_seconds)
         if self.arguments.requests:
-            load = Load(
+            load = LoadGenerator(
                 self.caller, MODEL_SERVICE, self.arguments.requests, repeatable=True
             )
             load.start()
@@ -126,7 +128,9 @@
         status_before = self.agent_status()
         root = self.publish("v2", 2, self.arguments.shared)
         self.placed_at = monotonic()
-        cluster.change("Place", service=MODEL_SERVICE, model="writer", version="v2")
+        cluster.make_change(
+            "Place", service=MODEL_SERVICE, model="writer", version="v2"
+        )
         root = self.inject_fault(root)
         cluster.wait_serving(root, 60 + 20 * self.one_copy_seconds)
         during = self.caller.history[len(before) :]
@@ -149,23 +153,25 @@
         sleep(FAULT_TIME_SHARE * self.one_copy_seconds)
         cluster = self.cluster
         if fault == "corrupt":
-            cluster.fault("origin", corrupt=3)
+            cluster.set_faults("origin", corrupt=3)
         elif fault == "origin-down":
-            cluster.fault("origin", down=True)
+            cluster.set_faults("origin", down=True)
             sleep(FAULT_SECONDS)
-            cluster.fault("origin", down=False)
+            cluster.set_faults("origin", down=False)
         elif fault == "kill":
             self.killed = self.top_origin_reader()
             self.killed.managed.kill()
             self.killed.managed.start()
         elif fault == "stall":
             stalled = self.top_origin_reader()
-            stalled.managed.freeze()
+            stalled.managed.pause()
             sleep(FAULT_SECONDS)
-            stalled.managed.wake()
+            stalled.managed.resume()
         elif fault == "supersede":
             root = self.publish("v3", 3)
-            cluster.change("Place", service=MODEL_SERVICE, model="writer", version="v3")
+            cluster.make_change(
+                "Place", service=MODEL_SERVICE, model="writer", version="v3"
+            )
         elif fault == "cut":
             raise SystemExit("the fault 'cut' needs relays and is not implemented")
         return root
@@ -262,7 +268,7 @@
     def count_wrong(self, root: str, answers: Sequence[Answer]) -> int:
         """Return the number of incorrect answers and of engines with other weights."""
         wrong_count = sum(
-            answer.outcome == "completed" and not answer.whole for answer in answers
+            answer.outcome == "completed" and not answer.correct for answer in answers
         )
         for node in self.cluster.model_agents():
             address = node.settings["engine"]["address"]
@@ -270,7 +276,7 @@
         return wrong_count
 
 
-def has_correct_weights(caller: Caller, address: str, root: str) -> bool:
+def has_correct_weights(caller: VerifyingClient, address: str, root: str) -> bool:
     """Check whether an engine answers as the version's weights require.
 
     The request goes directly to the engine, not through its agent.
@@ -288,7 +294,7 @@
     )
     events = [json.loads(line) for line in reply.data.splitlines()]
     tokens = [event["token"] for event in events[:-1]]
-    return tokens == caller.known[root].answer(f"check {address}", 8)
+    return tokens == caller.weights_by_root[root].answer(f"check {address}", 8)
 
 
 def make_plan(arguments: Namespace) -> Plan:
--- a/src/bench/routing.py
+++ b/src/bench/routing.py
@@ -27,7 +27,7 @@
 def compare(bench: ServingBench, rate: float) -> dict[str, Any]:
     """Return the p99 with equally fast engines and with one slow engine."""
     equal_answers = bench.measure({"bench": rate})["bench"]
-    bench.cluster.fault("engine-a-0", step_seconds=STEP_SECONDS * SLOW_FACTOR)
+    bench.cluster.set_faults("engine-a-0", step_seconds=STEP_SECONDS * SLOW_FACTOR)
     slow_answers = bench.measure({"bench": rate})["bench"]
     return {
         "p99_alike": p99(equal_answers),
--- a/src/bench/serving.py
+++ b/src/bench/serving.py
@@ -9,7 +9,7 @@
 
 from bench.result import quantile
 from ridgecourse.ctl.publish import make_manifest, write_manifest
-from ridgecourse_standins.caller import Answer, Caller, Load
+from ridgecourse_standins.client import Answer, LoadGenerator, VerifyingClient
 from ridgecourse_standins.cluster import FLEET, MODEL_SERVICE, Cluster, Plan
 from ridgecourse_standins.models import make_version
 
@@ -54,20 +54,20 @@
     def __init__(self, cluster: Cluster, arguments: Namespace) -> None:
         self.cluster = cluster
         self.arguments = arguments
-        self.caller = Caller([], FLEET, "")
+        self.caller = VerifyingClient([], FLEET, "")
 
     def set_up(self) -> None:
         """Publish a small version and wait until all targets serve the version."""
         cluster = self.cluster
         cluster.set_up()
-        self.caller.key = cluster.account("bench")
+        self.caller.key = cluster.create_account("bench")
         self.caller.entries = [node.http for node in cluster.entries]
         directory = cluster.models / "m-v1"
         make_version(directory, VERSION_BYTES, 1)
         manifest = make_manifest(directory, 64 * 1024, lambda _: None).unwrap()
         write_manifest(directory, manifest)
-        root = self.caller.know(directory)
-        cluster.change(
+        root = self.caller.add_version(directory)
+        cluster.make_change(
             "PublishVersion",
             model="m",
             version="v1",
@@ -75,7 +75,7 @@
             origin_path="m-v1",
             total_bytes=VERSION_BYTES,
         )
-        cluster.change("Place", service=MODEL_SERVICE, model="m", version="v1")
+        cluster.make_change("Place", service=MODEL_SERVICE, model="m", version="v1")
         cluster.wait_serving(root)
         cluster.wait_ready()
 
@@ -92,9 +92,9 @@
         """
         loads = {}
         for account, rate in rates.items():
-            caller = Caller(self.caller.entries, FLEET, f"key-of-{account}")
-            caller.known = self.caller.known
-            loads[account] = Load(
+            caller = VerifyingClient(self.caller.entries, FLEET, f"key-of-{account}")
+            caller.weights_by_root = self.caller.weights_by_root
+            loads[account] = LoadGenerator(
                 caller,
                 MODEL_SERVICE,
                 rate,
@@ -112,8 +112,8 @@
         return {
             account: [
                 answer
-                for answer in load.caller.history
-                if counted_from <= answer.sent < counted_until
+                for answer in load.client.history
+                if counted_from <= answer.sent_at < counted_until
             ]
             for account, load in loads.items()
         }
@@ -158,6 +158,6 @@
         if answer.outcome != "completed" and answer.reason:
             counts[answer.reason] = counts.get(answer.reason, 0) + 1
     counts["wrong"] = sum(
-        answer.outcome == "completed" and not answer.whole for answer in answers
+        answer.outcome == "completed" and not answer.correct for answer in answers
     )
     return counts
--- a/src/bench/engine_passes.py
+++ b/src/bench/simulated_engine.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from ridgecourse.core.engine_load import prompt_seconds
+from ridgecourse.core.engine_load import prefill_seconds
 from ridgecourse.core.routes import EngineModel
 
 TOKENS_PER_PASS = 5
@@ -31,7 +31,7 @@
         first_event: Time of the first event; None before the first event.
     """
 
-    arrived: float
+    arrived_at: float
     prompt_tokens: int
     remaining_tokens: int
     objective: float
@@ -43,7 +43,7 @@
 
 
 @dataclass
-class PassEngine:
+class SimulatedEngine:
     """Simulated engine; all times are in seconds of virtual time.
 
     Attributes:
@@ -99,8 +99,8 @@
         if not self.active:
             self.pass_end = None
             return
-        prefill_seconds = sum(
-            prompt_seconds(self.model, request.prompt_tokens)
+        prefill = sum(
+            prefill_seconds(self.model, request.prompt_tokens)
             for request in self.prefilling
         )
         context_tokens = sum(request.prompt_tokens for request in self.decoding)
@@ -110,6 +110,6 @@
         step_seconds += context_tokens * self.model.step_per_token
         self.pass_end = (
             now
-            + prefill_seconds
+            + prefill
             + (TOKENS_PER_PASS * step_seconds if self.decoding else step_seconds)
         )
--- a/src/ridgecourse/agent/agent.py
+++ b/src/ridgecourse/agent/agent.py
@@ -7,9 +7,9 @@
 import eventlet
 from msgspec.json import encode
 
+from ridgecourse.agent.admission_gate import AdmissionGate
 from ridgecourse.agent.context import AgentContext
 from ridgecourse.agent.control import AgentControl
-from ridgecourse.agent.gate import AdmissionGate
 from ridgecourse.agent.rollout import Rollout
 from ridgecourse.agent.settings import AgentSettings
 from ridgecourse.exchange.server import Exchange
--- a/src/ridgecourse/agent/context.py
+++ b/src/ridgecourse/agent/context.py
@@ -1,7 +1,7 @@
 """The state that the components of an agent share."""
 
 from ridgecourse.agent.settings import AgentSettings
-from ridgecourse.core.fetches import Member, PlanPolicy
+from ridgecourse.core.fetch_types import Member, PlanPolicy
 from ridgecourse.core.ids import (
     DomainName,
     FleetName,
@@ -60,7 +60,7 @@
     def _make_exchange(self, settings: AgentSettings) -> ExchangeContext:
         link, plan = settings.link, settings.plan
         return ExchangeContext(
-            me=self.local,
+            local=self.local,
             events=self.events,
             metrics=self.metrics,
             http=self.http,
--- a/src/ridgecourse/agent/control.py
+++ b/src/ridgecourse/agent/control.py
@@ -69,7 +69,7 @@
             self.context.events.emit(EventKind.BAD_INPUT, error=str(error))
             raise
         if isinstance(first_message, Follow):
-            self.exchange.tell_holdings(channel, first_message)
+            self.exchange.announce_holdings(channel, first_message)
         else:
             self._serve_entry(channel)
 
@@ -93,11 +93,11 @@
     def _handle_message(self, channel: ControlChannel, message: EntryMessage) -> None:
         config = self.context.config
         if isinstance(message, WantRecords):
-            channel.send(config.above(message.above, self.context.events.clock))
+            channel.send(config.updates_since(message.above, self.context.events.clock))
         elif isinstance(message, (ConfigRecords, ConfigFull)):
             self.context.events.merge(message.clock)
             previous_offset = config.offset
-            if config.take(message):
+            if config.apply(message):
                 self._report_applied()
             elif isinstance(message, ConfigRecords) and message.first > previous_offset:
                 channel.send(WantRecords(previous_offset))
--- a/src/ridgecourse/agent/fences.py
+++ b/src/ridgecourse/agent/fences.py
@@ -54,7 +54,7 @@
     def _apply_fence(self, fence: FenceRequest) -> FenceReply:
         known = fence.incarnation == self.context.incarnation
         if not known or (
-            self.register.forgotten and fence.request_id not in self.register.states
+            self.register.has_dropped and fence.request_id not in self.register.states
         ):
             return FenceReply(known=False)
         state = self.register.fence(fence.request_id)
--- a/src/ridgecourse/agent/lease.py
+++ b/src/ridgecourse/agent/lease.py
@@ -53,7 +53,7 @@
         self.catch_up()
         if self.offset <= token:
             raise LogUnavailable("the lease record cannot be read back")
-        self.lease.granted(token, append_started_at, seconds, boottime())
+        self.lease.record_grant(token, append_started_at, seconds, boottime())
         context.events.emit(
             EventKind.LEASE_GRANTED, target=context.target, offset=token
         )
--- a/src/ridgecourse/agent/manifest_fetch.py
+++ b/src/ridgecourse/agent/manifest_fetch.py
@@ -11,9 +11,9 @@
 
 from ridgecourse.agent.context import AgentContext
 from ridgecourse.core.config_objects import Target, Version
-from ridgecourse.core.finding import render_findings
 from ridgecourse.core.ids import RootDigest, TargetName
 from ridgecourse.core.manifest import parse_manifest
+from ridgecourse.core.problem import render_problems
 from ridgecourse.core.rendezvous import rendezvous_rank
 from ridgecourse.exchange.holding import Holding
 from ridgecourse.exchange.origin import OriginUnavailable
@@ -93,13 +93,15 @@
 
         Until the next try at the origin the peers are asked.
         """
-        previous_bytes = self.context.origin.drawn
+        previous_bytes = self.context.origin.received_bytes
         try:
             data = self.context.origin.manifest(version.origin_path)
         except OriginUnavailable as error:
             self.report_failure(version, f"origin-unavailable: {error}")
             return None
-        self.context.counts.from_origin += self.context.origin.drawn - previous_bytes
+        self.context.counts.from_origin += (
+            self.context.origin.received_bytes - previous_bytes
+        )
         return data
 
     def _fetch_from_peer(self, peer: Target, root: RootDigest) -> bytes | None:
@@ -118,5 +120,5 @@
     def _parse_manifest(self, root: RootDigest, data: bytes) -> Holding:
         parsed = parse_manifest(data, root)
         if isinstance(parsed, Failure):
-            raise RolloutStopped(f"bad-manifest: {render_findings(parsed.failure())}")
+            raise RolloutStopped(f"bad-manifest: {render_problems(parsed.failure())}")
         return Holding(root, parsed.unwrap(), data)
--- a/src/ridgecourse/agent/rollout.py
+++ b/src/ridgecourse/agent/rollout.py
@@ -259,7 +259,7 @@
         return holding
 
     def _is_complete(self, holding: Holding) -> bool:
-        stored_digests = self.context.store.held_of(holding.places)
+        stored_digests = self.context.store.stored_digests(holding.places)
         return len(stored_digests) == len(holding.places)
 
     def _peers(self) -> dict[TargetName, Target]:
--- a/src/ridgecourse/cluster/decoder.py
+++ b/src/ridgecourse/cluster/decoder.py
@@ -5,9 +5,9 @@
 
 from returns.result import Result
 
-from ridgecourse.core.finding import Findings
+from ridgecourse.core.problem import Problems
 from ridgecourse.core.routes import RoutingConfig
-from ridgecourse.core.targets import TargetRecord
+from ridgecourse.core.target_list import TargetRecord
 from ridgecourse.core.weights import NamedVersion
 from ridgecourse.net.record_source import KeyedRecord
 
@@ -18,7 +18,7 @@
     """Decodes the records of the platform's store."""
 
     @abstractmethod
-    def decision(self, record: KeyedRecord) -> Result[Decision | None, Findings]:
+    def decision(self, record: KeyedRecord) -> Result[Decision | None, Problems]:
         """Decode an operator's decision.
 
         Returns:
@@ -29,7 +29,7 @@
     @abstractmethod
     def targets(
         self, records: Sequence[KeyedRecord]
-    ) -> tuple[Sequence[TargetRecord], Findings]:
+    ) -> tuple[Sequence[TargetRecord], Problems]:
         """Decode changes of the list of targets.
 
         Returns:
--- a/src/ridgecourse/cluster/domain_source.py
+++ b/src/ridgecourse/cluster/domain_source.py
@@ -13,25 +13,25 @@
 from msgspec.structs import replace
 
 from ridgecourse.cluster.decoder import RecordDecoder
-from ridgecourse.cluster.keeper import PinnedDecisionSource
-from ridgecourse.cluster.peer_records import ask_records, to_batch
-from ridgecourse.cluster.share import STALE_SECONDS
+from ridgecourse.cluster.peer_records import fetch_records, to_batch
+from ridgecourse.cluster.pinned_decisions import PinnedDecisionSource
+from ridgecourse.cluster.record_server import STALE_SECONDS
 from ridgecourse.cluster.tree_reader import (
-    ANSWER_SECONDS,
+    ANSWER_TIMEOUT_SECONDS,
+    LONG_POLL_SECONDS,
     READ_TIMEOUT_SECONDS,
-    WAIT_SECONDS,
     Neighbours,
     TreeReader,
 )
 from ridgecourse.cluster.view import ClusterView
-from ridgecourse.core.hubs import seed_peers
+from ridgecourse.core.hubs import make_seed_addresses
 from ridgecourse.core.ids import DomainName, Offset
 from ridgecourse.core.read_tree import choose_seed, count_readers
 from ridgecourse.core.site import Site
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.events import EventKind, EventStream
 from ridgecourse.net.http_client import HttpClient
-from ridgecourse.net.record_follower import LONG_ANSWER_SECONDS, ReadPace
+from ridgecourse.net.record_follower import SLOW_TRANSFER_SECONDS, ReadPace
 from ridgecourse.net.record_source import (
     RecordBatch,
     RecordsGone,
@@ -131,7 +131,7 @@
         """
         if topic in self.readers:
             sizes = [len(record.value) for record in batch.records]
-            self.readers[topic].tries.note_answer(batch.heard_at, sizes)
+            self.readers[topic].outage_retries.record_answer(batch.confirmed_at, sizes)
 
     def _read_or_skip_ahead(
         self, topic: Topic, start: Offset, wait: float
@@ -142,10 +142,14 @@
         decision of each key is read.
         """
         reader = self.readers.get(topic)
-        if topic is not Topic.DECISIONS or reader is None or not reader.tries.in_series:
+        if (
+            topic is not Topic.DECISIONS
+            or reader is None
+            or not reader.outage_retries.is_in_series
+        ):
             return self.store.read(topic, start, wait)
         batch = self.store.newest(topic)
-        return replace(batch, passed_from=start) if batch.end > start else batch
+        return replace(batch, skipped_from=start) if batch.end > start else batch
 
     def _try_store(self, topic: Topic, read: Callable[[], RecordBatch]) -> RecordBatch:
         """Read the store unless this process leaves that to others.
@@ -158,7 +162,7 @@
         reader = self.readers.get(topic)
         if reader is None:
             return read()
-        if reader.tries.leaves_to_others(len(reader.lost_parents), boottime()):
+        if reader.outage_retries.defers_to_others(len(reader.lost_parents), boottime()):
             raise SourceUnavailable(
                 "store read left to other processes while the domain is cut off"
             )
@@ -167,17 +171,17 @@
             batch = read()
         except SourceUnavailable as error:
             readers = count_readers(self.domain, self.neighbours.known_gateways())
-            reader.tries.note_failure(readers, boottime())
+            reader.outage_retries.record_failure(readers, boottime())
             self._emit_store_read(topic, started_at, error=str(error))
             raise
         except RecordsGone:
-            reader.tries.note_success()
+            reader.outage_retries.record_success()
             raise
-        reader.tries.note_success()
-        if batch.took >= LONG_ANSWER_SECONDS:
+        reader.outage_retries.record_success()
+        if batch.transfer_seconds >= SLOW_TRANSFER_SECONDS:
             size = sum(len(record.value) for record in batch.records)
             self._emit_store_read(
-                topic, started_at, took=round(batch.took, 2), bytes=size
+                topic, started_at, took=round(batch.transfer_seconds, 2), bytes=size
             )
         return batch
 
@@ -228,8 +232,13 @@
                 # The process may have stopped or may be starting itself; then another
                 # process is asked.
                 address = self.first_sources[topic]
-                response = ask_records(
-                    self.http, address, topic, start, ANSWER_SECONDS, WAIT_SECONDS
+                response = fetch_records(
+                    self.http,
+                    address,
+                    topic,
+                    start,
+                    ANSWER_TIMEOUT_SECONDS,
+                    LONG_POLL_SECONDS,
                 )
                 if response.receiving or response.age <= STALE_SECONDS:
                     return to_batch(response)
@@ -254,8 +263,8 @@
             address = self._choose_address(attempt)
             with suppress(SourceUnavailable):
                 # The process may be starting as well.
-                response = ask_records(
-                    self.http, address, topic, Offset(0), ANSWER_SECONDS
+                response = fetch_records(
+                    self.http, address, topic, Offset(0), ANSWER_TIMEOUT_SECONDS
                 )
                 if response.age <= STALE_SECONDS:
                     self.first_sources[topic] = address
@@ -307,7 +316,7 @@
         events: The event stream.
         pace: How often the process reads.
     """
-    seeds = seed_peers(site.seeds, site.peer_ports[0] + 1)
+    seeds = make_seed_addresses(site.seeds, site.peer_ports[0] + 1)
     pinned_decisions = PinnedDecisionSource(store.source, store.decoder, events)
     seed = choose_seed(site.host, seeds)
     source = DomainSource(
--- a/src/ridgecourse/cluster/bad_records.py
+++ b/src/ridgecourse/cluster/invalid_records.py
@@ -1,6 +1,6 @@
 """Counts records that cannot be used, and logs each key once."""
 
-from ridgecourse.core.finding import Finding
+from ridgecourse.core.problem import Problem
 from ridgecourse.net.events import EventKind, EventStream
 from ridgecourse.net.record_source import Topic
 
@@ -22,14 +22,14 @@
         self.events = events
         self.logged_keys: dict[Topic, set[str]] = {topic: set() for topic in Topic}
 
-    def record(self, topic: Topic, problem: Finding) -> None:
+    def record(self, topic: Topic, problem: Problem) -> None:
         """Count an invalid record, and log it if its key has not been logged.
 
         Args:
             topic: The topic of the record.
             problem: The record's key as the place, and why the record is invalid.
         """
-        self.events.figures.count(f"records_rejected_{topic.value}")
+        self.events.metrics.count(f"records_rejected_{topic.value}")
         logged_keys = self.logged_keys[topic]
         if problem.place in logged_keys or len(logged_keys) >= MAX_LOGGED_KEYS:
             return
--- a/src/ridgecourse/cluster/peer_records.py
+++ b/src/ridgecourse/cluster/peer_records.py
@@ -5,7 +5,11 @@
 from msgspec.structs import replace
 from returns.result import Failure
 
-from ridgecourse.cluster.share import RECORDS_PATH, WAIT_PARAMETER, SharedRecords
+from ridgecourse.cluster.record_server import (
+    RECORDS_PATH,
+    WAIT_PARAMETER,
+    RecordsResponse,
+)
 from ridgecourse.core.ids import Offset, Seconds
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.http_client import ExchangeFailed, HttpClient, NoConnection
@@ -13,14 +17,14 @@
 from ridgecourse.wire.codec import decode_message
 
 
-def ask_records(
+def fetch_records(
     http: HttpClient,
     address: str,
     topic: Topic,
     start: Offset,
     timeout: float,
     wait: float = 0.0,
-) -> SharedRecords:
+) -> RecordsResponse:
     """Return the records that a process holds.
 
     If the process has read no records, the result is empty and infinitely old.
@@ -43,10 +47,10 @@
     except (NoConnection, ExchangeFailed) as error:
         raise SourceUnavailable(f"{address}: {error}") from error
     if status == 204:
-        return SharedRecords([], Offset(0), inf, lost=True)
+        return RecordsResponse([], Offset(0), inf, lost=True)
     if status != 200:
         raise SourceUnavailable(f"{address}: HTTP status {status}, expected 200 or 204")
-    decoded = decode_message(data, SharedRecords)
+    decoded = decode_message(data, RecordsResponse)
     if isinstance(decoded, Failure):
         raise SourceUnavailable(f"{address}: {decoded.failure()}")
     response = decoded.unwrap()
@@ -61,15 +65,15 @@
     )
 
 
-def to_batch(response: SharedRecords) -> RecordBatch:
+def to_batch(response: RecordsResponse) -> RecordBatch:
     """Return an answer that was received just now as a batch of records."""
     now = boottime()
     return RecordBatch(
         response.records,
         response.end,
         Seconds(now - response.age),
-        told=True,
-        kept=response.kept,
+        is_relayed=True,
+        removal_grace_seconds=response.kept,
         read_at=Seconds(now - response.read_age),
-        level=response.level + 1,
+        relay_hops=response.level + 1,
     )
--- a/src/ridgecourse/cluster/keeper.py
+++ b/src/ridgecourse/cluster/pinned_decisions.py
@@ -19,12 +19,12 @@
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.events import EventKind, EventStream
 from ridgecourse.net.record_source import (
+    AppendConflict,
     KeyedRecord,
     RecordBatch,
     RecordSource,
     SourceUnavailable,
     Topic,
-    TopicGrown,
 )
 from ridgecourse.net.threads import spawn_loop
 
@@ -97,7 +97,7 @@
         """Write a record; see ``RecordSource``."""
         self.store.append(topic, key, value, end)
 
-    def keep(self, record: KeyedRecord) -> None:
+    def pin(self, record: KeyedRecord) -> None:
         """Pin a decision with a higher revision than the newest record of its key."""
         self.pending[record.key] = record
         self.changed.notify()
@@ -141,10 +141,10 @@
             self._pin_once(record)
         except SourceUnavailable as error:
             self.events.emit(EventKind.LOG_LOST, topic="kept", error=str(error))
-        except TopicGrown:
+        except AppendConflict:
             # Another process has pinned a decision in the meantime. The next attempt
             # reads the topic again to decide whether to write.
-            self.events.figures.count("kept_elsewhere")
+            self.events.metrics.count("kept_elsewhere")
         else:
             if self.pending.get(record.key) == record:
                 del self.pending[record.key]
--- a/src/ridgecourse/cluster/share.py
+++ b/src/ridgecourse/cluster/record_server.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from ridgecourse.core.ids import Offset, Seconds
-from ridgecourse.core.targets import ListedTarget, TargetRecord
+from ridgecourse.core.target_list import ListedTarget, TargetRecord
 from ridgecourse.net.broadcast import Broadcast
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.http_server import HttpReply, HttpRequest, HttpRouter
@@ -24,7 +24,7 @@
 MAX_REMOVED_KEYS = 1000
 """Most removed keys, and most rejected keys, that are still served: far more than the
 targets that leave during an outage."""
-TOLD_LATE_SECONDS = 3.0
+LATE_RECORD_SECONDS = 3.0
 """How long a decision that was found late is served to all processes, whatever offset
 they ask from. Each process asks several times in that time."""
 COMPRESSION_THRESHOLD_BYTES = 4096
@@ -35,7 +35,7 @@
 """Makes ``zlib`` write the gzip format; importing the gzip module takes longer."""
 
 
-class SharedRecords(Struct, frozen=True):
+class RecordsResponse(Struct, frozen=True):
     """The answer to a process that asks for records.
 
     Attributes:
@@ -84,7 +84,7 @@
         self.end = Offset(0)
         self.confirmed_at = Seconds(0.0)
 
-    def take(self, batch: RecordBatch) -> None:
+    def apply(self, batch: RecordBatch) -> None:
         """Apply a batch; an older record never replaces a newer one."""
         self.record_origin(batch)
         for record in batch.records:
@@ -102,19 +102,19 @@
     def put_late(self, record: KeyedRecord) -> None:
         """Store a record that takes the place of a newer record of its key."""
         self.put(record)
-        self.late_records[record.key] = record, boottime() + TOLD_LATE_SECONDS
+        self.late_records[record.key] = record, boottime() + LATE_RECORD_SECONDS
 
     def record_origin(self, batch: RecordBatch) -> None:
         """Record when the new records of a batch were first read, and their level."""
         if batch.records and batch.end > self.end:
             self.read_at = batch.read_at
-            self.level = batch.level
+            self.level = batch.relay_hops
 
     def record_progress(self, batch: RecordBatch) -> None:
         """Record up to which offset the topic has been read, and when."""
         self.end = max(self.end, batch.end)
-        if not batch.behind:
-            self.confirmed_at = max(self.confirmed_at, batch.heard_at)
+        if not batch.remaining_records:
+            self.confirmed_at = max(self.confirmed_at, batch.confirmed_at)
 
     @property
     def age(self) -> float:
@@ -152,19 +152,19 @@
         for key in [*removed[:-MAX_REMOVED_KEYS], *rejected[:-MAX_REMOVED_KEYS]]:
             del self.records[key]
 
-    def since(self, start: Offset) -> SharedRecords:
+    def records_since(self, start: Offset) -> RecordsResponse:
         """Return the records from an offset on, and the late records."""
         now = boottime()
         late = [record for record, end in self.late_records.values() if now < end]
         newer = [record for record in self.records.values() if record.offset >= start]
         records = [*newer, *(record for record in late if record.offset < start)]
         records.sort(key=lambda record: record.offset)
-        return SharedRecords(
+        return RecordsResponse(
             records, self.end, self.age, read_age=self.lag, level=self.level
         )
 
 
-class ToldTargets:
+class TargetChangeFilter:
     """Filters the list of targets, so that only changes are served, no heartbeats.
 
     Each target writes its entry every 1.2 s, whether changed or not. When these
@@ -180,7 +180,7 @@
         self.topic_records = topic_records
         self.entries: dict[str, ListedTarget] = {}
 
-    def take(
+    def apply(
         self, batch: RecordBatch, changes: Sequence[TargetRecord], is_snapshot: bool
     ) -> None:
         """Apply a batch, and serve those of its records that change an entry.
@@ -200,7 +200,7 @@
             for record, change in zip(stripped, changes, strict=True)
             if self._is_change(record, change)
         ]
-        self.topic_records.take(replace(batch, records=changed))
+        self.topic_records.apply(replace(batch, records=changed))
 
     def _is_change(self, record: KeyedRecord, change: TargetRecord) -> bool:
         """Check whether a record differs from the entry that is served."""
@@ -231,7 +231,7 @@
             yield record
 
 
-class RecordShare:
+class RecordServer:
     """Serves the records that this process has read.
 
     Attributes:
@@ -281,7 +281,7 @@
         if not topic.records and not topic.confirmed_at and not receiving:
             return HttpReply(204)
         response = replace(
-            topic.since(Offset(int(start))),
+            topic.records_since(Offset(int(start))),
             waited=boottime() - started_at,
             receiving=receiving,
             lost=self.is_lost(matching[0]),
--- a/src/ridgecourse/cluster/relay.py
+++ b/src/ridgecourse/cluster/relay.py
@@ -9,7 +9,7 @@
 
 import eventlet
 
-from ridgecourse.cluster.peer_records import ask_records, to_batch
+from ridgecourse.cluster.peer_records import fetch_records, to_batch
 from ridgecourse.cluster.view import ClusterView
 from ridgecourse.net.events import EventKind, EventStream
 from ridgecourse.net.http_client import HttpClient
@@ -69,18 +69,18 @@
             self._ask_peer(topic, peers[next(self.peer_counter) % len(peers)])
 
     def _ask_peer(self, topic: Topic, address: str) -> None:
-        start = self.view.share.topics[topic].end
+        start = self.view.record_server.topics[topic].end
         try:
-            response = ask_records(
+            response = fetch_records(
                 self.http, address, topic, start, ANSWER_TIMEOUT_SECONDS
             )
         except SourceUnavailable:
             # The peer may be cut off as well, or stopped; the next peer is asked.
-            self.events.figures.count("relay_unanswered")
+            self.events.metrics.count("relay_unanswered")
             return
         if not response.records and (topic is Topic.TARGETS or not response.end):
             return
-        self.events.figures.count("relay_answered")
+        self.events.metrics.count("relay_answered")
         self.events.emit(
             EventKind.RECORDS_FROM_PEER,
             offset=response.end,
@@ -88,4 +88,4 @@
             records=len(response.records),
             peer=address,
         )
-        self.view.take(topic, to_batch(response), False)
+        self.view.apply(topic, to_batch(response), False)
--- a/src/ridgecourse/cluster/target_events.py
+++ b/src/ridgecourse/cluster/target_events.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 from ridgecourse.core.ids import TargetId
-from ridgecourse.core.targets import ListedTarget
+from ridgecourse.core.target_list import ListedTarget
 from ridgecourse.net.events import EventKind, EventStream
 
 
@@ -21,8 +21,8 @@
     """
     for target in after.values():
         known = before.get(target.target)
-        state = target.life, target.leaving
-        if known is None or (known.life, known.leaving) != state:
+        state = target.incarnation, target.leaving
+        if known is None or (known.incarnation, known.leaving) != state:
             events.emit(
                 EventKind.TARGET_LISTED,
                 target=target.target,
--- a/src/ridgecourse/cluster/tree_reader.py
+++ b/src/ridgecourse/cluster/tree_reader.py
@@ -6,31 +6,31 @@
 
 import eventlet
 
-from ridgecourse.cluster.peer_records import ask_records, to_batch
-from ridgecourse.cluster.share import STALE_SECONDS, SharedRecords
+from ridgecourse.cluster.peer_records import fetch_records, to_batch
+from ridgecourse.cluster.record_server import STALE_SECONDS, RecordsResponse
 from ridgecourse.core.hubs import Peer
 from ridgecourse.core.ids import Offset, Seconds, TargetName
-from ridgecourse.core.outage_tries import TRY_OFTEN, OutageTries
-from ridgecourse.core.read_tree import may_pass_over
+from ridgecourse.core.outage_retries import PERSISTENT_READERS, OutageRetries
+from ridgecourse.core.read_tree import may_skip
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.events import EventKind, EventStream
 from ridgecourse.net.http_client import HttpClient
 from ridgecourse.net.record_source import RecordBatch, SourceUnavailable, Topic
 
-WAIT_SECONDS = 0.8
+LONG_POLL_SECONDS = 0.8
 """Longest time for which a parent holds a request back until it has a new record. It is
 shorter than the age at which an answer is stale."""
-ANSWER_SECONDS = 0.3
+ANSWER_TIMEOUT_SECONDS = 0.3
 """Timeout for the answer in addition to that wait. A frozen parent is detected after
 both times together. Then the next process is asked, which by then reads the store
 itself if the frozen parent was the first of the read tree."""
 READ_TIMEOUT_SECONDS = 1.3
 """Time after which no other process is asked and the store is read. With two frozen
 processes the store is read after 1.4 s, of the 2 s allowed."""
-SILENT_SECONDS = 5.0
+UNRESPONSIVE_AVOID_SECONDS = 5.0
 """How long a process that did not answer is avoided. By then most freezes and
 network failures of a machine are over."""
-LATE_SECONDS = 0.5
+STALE_AVOID_SECONDS = 0.5
 """How long a process with stale records is avoided. The parent of that process may not
 have answered, and by then the process reads the store itself. If it were avoided for
 longer, all processes would read the store."""
@@ -68,7 +68,7 @@
         stale_parents: Avoided processes that had stale records although they can read
             the store, and whether they were receiving an answer from the store.
         lost_parents: Avoided processes that cannot read the store.
-        tries: Decides when to try the store while it cannot be read.
+        outage_retries: Decides when to try the store while it cannot be read.
         parent_receiving: Whether the parent is receiving an answer from the store.
         parent: The process that was read from last; None for the store.
     """
@@ -87,7 +87,7 @@
         self.avoided: dict[TargetName, Seconds] = {}
         self.stale_parents: dict[TargetName, bool] = {}
         self.lost_parents: set[TargetName] = set()
-        self.tries = OutageTries(Random())
+        self.outage_retries = OutageRetries(Random())
         self.parent_receiving = False
         self.parent: Peer | None = None
 
@@ -99,7 +99,7 @@
                 reading the store is left to other processes.
         """
         deadline = boottime() + READ_TIMEOUT_SECONDS
-        wait = WAIT_SECONDS
+        wait = LONG_POLL_SECONDS
         while (parent := self._select_parent()) is not None:
             is_last = parent.name in self.avoided
             response = self._ask_parent(parent, start, wait)
@@ -121,20 +121,25 @@
 
     def _ask_parent(
         self, parent: Peer, start: Offset, wait: float
-    ) -> SharedRecords | None:
+    ) -> RecordsResponse | None:
         """Return a parent's answer, or None if the parent gives no usable answer."""
         try:
-            response = ask_records(
-                self.http, parent.address, self.topic, start, ANSWER_SECONDS, wait
+            response = fetch_records(
+                self.http,
+                parent.address,
+                self.topic,
+                start,
+                ANSWER_TIMEOUT_SECONDS,
+                wait,
             )
         except SourceUnavailable as error:
             self.parent_receiving = False
-            self._avoid(parent, SILENT_SECONDS, str(error))
+            self._avoid(parent, UNRESPONSIVE_AVOID_SECONDS, str(error))
             return None
         self.parent_receiving = response.receiving
         return response
 
-    def _is_usable(self, response: SharedRecords) -> bool:
+    def _is_usable(self, response: RecordsResponse) -> bool:
         """Check whether an answer can be used without asking another process."""
         if response.lost and not response.receiving and self.topic is Topic.TARGETS:
             # A parent that cannot read the store ignores removals. Relying on its list,
@@ -144,7 +149,7 @@
         # Records that were delayed on the network are not read again from the store.
         return bool(response.records) or response.age <= STALE_SECONDS
 
-    def _try_bypass(self, parent: Peer, response: SharedRecords) -> bool:
+    def _try_bypass(self, parent: Peer, response: RecordsResponse) -> bool:
         """Avoid a parent with stale records, unless too many are avoided already.
 
         Returns:
@@ -155,7 +160,7 @@
         # an outage has new records, and another reader would slow that answer down.
         is_lost = (response.lost or not response.end) and not response.receiving
         receiving = response.receiving or any(self.stale_parents.values())
-        if not is_lost and not may_pass_over(
+        if not is_lost and not may_skip(
             len(self.stale_parents), response.age, receiving
         ):
             return False
@@ -164,7 +169,7 @@
         else:
             self.stale_parents[parent.name] = response.receiving
         reason = f"heard of the store {response.age:.2f} s ago"
-        self._avoid(parent, LATE_SECONDS, reason)
+        self._avoid(parent, STALE_AVOID_SECONDS, reason)
         return True
 
     def _select_parent(self) -> Peer | None:
@@ -177,7 +182,10 @@
         }
         self.lost_parents &= self.avoided.keys()
         # If the whole domain seems to be cut off, asking all its processes is useless.
-        is_cut_off = self.tries.failing and len(self.lost_parents) >= TRY_OFTEN
+        is_cut_off = (
+            self.outage_retries.is_failing
+            and len(self.lost_parents) >= PERSISTENT_READERS
+        )
         parent = None if is_cut_off else self.neighbours.choose_parent(self.avoided)
         if parent != self.parent:
             self.parent = parent
@@ -189,7 +197,7 @@
     def _avoid(self, parent: Peer, seconds: float, reason: str) -> None:
         """Avoid a parent for a number of seconds."""
         self.avoided[parent.name] = Seconds(boottime() + seconds)
-        self.events.figures.count("parent_avoided")
+        self.events.metrics.count("parent_avoided")
         self.events.emit(
             EventKind.PARENT_AVOIDED,
             parent=parent.name,
--- a/src/ridgecourse/cluster/view.py
+++ b/src/ridgecourse/cluster/view.py
@@ -5,15 +5,15 @@
 
 from returns.result import Failure
 
-from ridgecourse.cluster.bad_records import InvalidRecords
 from ridgecourse.cluster.decoder import RecordDecoder
-from ridgecourse.cluster.keeper import PinnedDecisionSource
-from ridgecourse.cluster.share import RecordShare, ToldTargets
+from ridgecourse.cluster.invalid_records import InvalidRecords
+from ridgecourse.cluster.pinned_decisions import PinnedDecisionSource
+from ridgecourse.cluster.record_server import RecordServer, TargetChangeFilter
 from ridgecourse.cluster.target_events import emit_target_events
-from ridgecourse.core.finding import Finding
 from ridgecourse.core.ids import ModelName, Offset, Seconds, ServiceName, WeightsVersion
+from ridgecourse.core.problem import Problem
 from ridgecourse.core.routes import RoutingConfig
-from ridgecourse.core.targets import ListedTarget, TargetList, TargetRecord
+from ridgecourse.core.target_list import ListedTarget, TargetList, TargetRecord
 from ridgecourse.core.weights import NamedVersion, VersionAge, VersionHistory
 from ridgecourse.net.broadcast import Broadcast
 from ridgecourse.net.clock import boottime
@@ -41,7 +41,7 @@
         histories: The named versions of each model.
         targets: The list of targets.
         targets_loaded: Whether the list has been read.
-        share: Serves the records to other processes.
+        record_server: Serves the records to other processes.
         target_filter: Selects the changes of the list that are served to other
             processes.
         pinned_decisions: Pins decisions that are not the newest records of their keys.
@@ -67,10 +67,12 @@
         self.targets = TargetList()
         self.targets_loaded = False
         self.changed = Broadcast()
-        self.share = RecordShare(
+        self.record_server = RecordServer(
             source.is_receiving, self._is_lost, self._removal_grace_seconds
         )
-        self.target_filter = ToldTargets(self.share.topics[Topic.TARGETS])
+        self.target_filter = TargetChangeFilter(
+            self.record_server.topics[Topic.TARGETS]
+        )
         self.pinned_decisions = pinned_decisions
         pinned_decisions.apply_pinned = self.apply_pinned
         self.decisions_reader = RecordFollower(
@@ -78,24 +80,24 @@
             Topic.DECISIONS,
             pace.decision_wait,
             0.0,
-            self.take_decisions,
+            self.apply_decisions,
             self._record_decisions_restored,
             events,
-            misses_none=True,
+            reads_skipped=True,
         )
         self.targets_reader = RecordFollower(
             source,
             Topic.TARGETS,
             0.0,
             pace.targets_pause,
-            self.take_targets,
+            self.apply_targets,
             self._record_targets_restored,
             events,
-            told_pause=pace.told_pause,
+            relay_pause=pace.relay_pause,
         )
         self.threads: list = []
 
-    def take_version_bound(self, seconds: float) -> None:
+    def set_version_bound(self, seconds: float) -> None:
         """Set the time from the naming of a version until it is required.
 
         Args:
@@ -121,7 +123,7 @@
             thread.kill()
 
     def _record_decisions_restored(self, outage_seconds: float) -> None:
-        self.targets.outage_ended(boottime())
+        self.targets.record_outage_end(boottime())
         self.events.emit(
             EventKind.LOG_BACK, topic="decisions", away=round(outage_seconds, 2)
         )
@@ -135,11 +137,11 @@
         restarted, because each answer that is requested again delays all others on the
         link.
         """
-        self.targets.outage_ended(boottime())
+        self.targets.record_outage_end(boottime())
         self.events.emit(
             EventKind.LOG_BACK, topic="targets", away=round(outage_seconds, 2)
         )
-        if self.decisions_reader.lost_since is None:
+        if self.decisions_reader.unavailable_since is None:
             self.decisions_reader.restart()
         # Targets that return must be read before the others are removed.
         self.targets_reader.pause = min(RETURN_PAUSE_SECONDS, self.targets_pause)
@@ -157,7 +159,7 @@
     def lost_topics(self) -> Iterator[Topic]:
         """Yield the topics that cannot be read from the store at the moment."""
         for reader in (self.decisions_reader, self.targets_reader):
-            if reader.lost_since is not None:
+            if reader.unavailable_since is not None:
                 yield reader.topic
 
     def _is_lost(self, topic: Topic) -> bool:
@@ -169,7 +171,7 @@
             return 0.0
         return max(0.0, self.targets.kept_until - boottime())
 
-    def take(self, topic: Topic, batch: RecordBatch, whole: bool) -> None:
+    def apply(self, topic: Topic, batch: RecordBatch, whole: bool) -> None:
         """Apply records of a topic, from the store or from another process.
 
         Args:
@@ -178,20 +180,20 @@
             whole: Whether the records are the newest ones of all keys.
         """
         if topic is Topic.DECISIONS:
-            self.take_decisions(batch, whole)
+            self.apply_decisions(batch, whole)
         else:
-            self.take_targets(batch, whole)
+            self.apply_targets(batch, whole)
 
     # Decisions.
 
-    def take_decisions(self, batch: RecordBatch, is_snapshot: bool) -> None:
+    def apply_decisions(self, batch: RecordBatch, is_snapshot: bool) -> None:
         """Apply operators' decisions; a lower revision never replaces a higher one.
 
         Args:
             batch: The records of the decisions.
             is_snapshot: Whether the records are the newest ones of all keys.
         """
-        topic_records = self.share.topics[Topic.DECISIONS]
+        topic_records = self.record_server.topics[Topic.DECISIONS]
         topic_records.record_origin(batch)
         named_at = self._earliest_named_at(batch)
         for record in batch.records:
@@ -202,16 +204,16 @@
                 # This reader had skipped the record, so downstream processes and
                 # processes that start have not received it either.
                 topic_records.put_late(record)
-                self.pinned_decisions.keep(record)
+                self.pinned_decisions.pin(record)
             else:
                 topic_records.put(record)
         topic_records.record_progress(batch)
-        self.share.changed.notify()
+        self.record_server.changed.notify()
         self.changed.notify()
 
     def apply_pinned(self, records: Sequence[KeyedRecord]) -> None:
         """Apply pinned decisions whose revisions are higher than the known ones."""
-        topic_records = self.share.topics[Topic.DECISIONS]
+        topic_records = self.record_server.topics[Topic.DECISIONS]
         for record in records:
             known = topic_records.records.get(record.key)
             offset = known.offset if known else Offset(0)
@@ -231,9 +233,9 @@
             The time, or None if the versions were named before this process first read
             the store, which may be long ago.
         """
-        since = batch.since
+        since = batch.earliest_written_at
         if since is None:
-            since = self.share.topics[Topic.DECISIONS].confirmed_at
+            since = self.record_server.topics[Topic.DECISIONS].confirmed_at
         return since or None
 
     def _apply_decision(self, record: KeyedRecord, named_at: Seconds | None) -> bool:
@@ -269,8 +271,8 @@
         if self.config is not None:
             # The configuration that was read at the start may be long in force, so the
             # lag is measured for later ones only.
-            topic_records = self.share.topics[Topic.DECISIONS]
-            self.events.figures.observe("decision_lag", topic_records.lag)
+            topic_records = self.record_server.topics[Topic.DECISIONS]
+            self.events.metrics.observe("decision_lag", topic_records.lag)
         self.config = config
         self.events.emit(
             EventKind.CONFIG_FOLDED,
@@ -285,7 +287,7 @@
     ) -> bool:
         history = self.history(named_version.model)
         now = boottime()
-        if not history.name(named_version.version, now, named_at):
+        if not history.record_version(named_version.version, now, named_at):
             return False
         self.events.emit(
             EventKind.VERSION_NAMED,
@@ -299,14 +301,14 @@
 
     def _propagation_fields(self) -> dict[str, Any]:
         """Return event fields that describe how the newest decision arrived."""
-        topic_records = self.share.topics[Topic.DECISIONS]
+        topic_records = self.record_server.topics[Topic.DECISIONS]
         return {
-            "unheard": round(self.decisions_reader.unheard, 3),
+            "unheard": round(self.decisions_reader.unconfirmed_seconds, 3),
             "lag": round(topic_records.lag, 3),
             "level": topic_records.level,
         }
 
-    def date_versions(self, ages: Iterable[VersionAge], asked_at: Seconds) -> None:
+    def apply_version_ages(self, ages: Iterable[VersionAge], asked_at: Seconds) -> None:
         """Apply the ages of named versions that another process reported.
 
         Args:
@@ -315,7 +317,9 @@
         """
         for version_age in ages:
             named_at = Seconds(asked_at - version_age.age)
-            if self.history(version_age.model).date(version_age.version, named_at):
+            if self.history(version_age.model).record_naming_time(
+                version_age.version, named_at
+            ):
                 self.events.emit(
                     EventKind.VERSION_DATED,
                     version=str(version_age.version),
@@ -344,16 +348,16 @@
         Such a record is not in force itself. If it is the newest one of its key, a
         starting process would otherwise apply it, or have no decision at all.
         """
-        known = self.share.topics[Topic.DECISIONS].records.get(record.key)
+        known = self.record_server.topics[Topic.DECISIONS].records.get(record.key)
         if known is None or known.value == record.value:
             return
         if known.offset < record.offset:
-            self.pinned_decisions.keep(known)
+            self.pinned_decisions.pin(known)
 
     @property
     def decisions_age(self) -> float:
         """Seconds since the store confirmed that there is no newer decision."""
-        return self.share.topics[Topic.DECISIONS].age
+        return self.record_server.topics[Topic.DECISIONS].age
 
     def history(self, model: ModelName) -> VersionHistory:
         """Return the named versions of a model."""
@@ -367,7 +371,7 @@
 
     # Targets.
 
-    def take_targets(self, batch: RecordBatch, is_snapshot: bool) -> None:
+    def apply_targets(self, batch: RecordBatch, is_snapshot: bool) -> None:
         """Apply changes of the list of targets, or the complete list.
 
         Args:
@@ -375,16 +379,16 @@
             is_snapshot: Whether the records are the complete list.
         """
         records, problems = self.decoder.targets(batch.records)
-        self.target_filter.take(batch, records, is_snapshot)
-        self.share.changed.notify()
+        self.target_filter.apply(batch, records, is_snapshot)
+        self.record_server.changed.notify()
         for problem in [*problems, *self._find_unknown_services(records)]:
             self.invalid_records.record(Topic.TARGETS, problem)
         before = dict(self.targets.targets)
         now = boottime()
-        if self.decisions_reader.lost_since is not None:
+        if self.decisions_reader.unavailable_since is not None:
             # The outage was too short for the reader of the list to detect it.
-            self.targets.outage_ended(now)
-        self.targets.keep_removed(Seconds(now + batch.kept))
+            self.targets.record_outage_end(now)
+        self.targets.keep_removed(Seconds(now + batch.removal_grace_seconds))
         if is_snapshot:
             self.targets.replace(records, now)
         else:
@@ -395,7 +399,7 @@
 
     def _find_unknown_services(
         self, records: Iterable[TargetRecord]
-    ) -> Iterator[Finding]:
+    ) -> Iterator[Problem]:
         """Yield a problem for each entry whose service the configuration does not name.
 
         These entries stay listed, because the next configuration may name the service.
@@ -403,12 +407,12 @@
         known = self.config.services if self.config else None
         for entry in [record.entry for record in records]:
             if known is not None and entry is not None and entry.service not in known:
-                yield Finding(entry.target, f"unknown service {entry.service}")
+                yield Problem(entry.target, f"unknown service {entry.service}")
 
-    def serving(self, service: ServiceName) -> Iterator[ListedTarget]:
+    def serving_targets(self, service: ServiceName) -> Iterator[ListedTarget]:
         """Yield the targets of a service to which requests may be sent."""
         return self.targets.of_service(service)
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Check whether requests can be served."""
         return self.config is not None and self.targets_loaded
--- a/src/ridgecourse/core/hearing.py
+++ b/src/ridgecourse/core/answer_time.py
@@ -10,7 +10,7 @@
 from ridgecourse.core.ids import Seconds
 
 
-def heard_at(
+def confirmed_at(
     asked_at: Seconds, answered_at: Seconds, wait: float, is_empty: bool
 ) -> Seconds:
     """Return the earliest time at which the store may have written an answer.
--- a/src/ridgecourse/core/links.py
+++ b/src/ridgecourse/core/byte_counters.py
@@ -3,28 +3,28 @@
 from enum import Enum
 
 
-class Link(Enum):
+class LinkKind(Enum):
     """The link between a process and the sender of received bytes.
 
     DOMAIN: The sender is in the local failure domain.
     REGION: The sender is in another domain of the local region.
-    ABROAD: The link between two regions, which all traffic shares.
+    INTER_REGION: The link between two regions, which all traffic shares.
     ORIGIN: The path to the origin of weights, in any location.
     """
 
     DOMAIN = "domain"
     REGION = "region"
-    ABROAD = "abroad"
+    INTER_REGION = "abroad"
     ORIGIN = "origin"
 
 
-class Cargo(Enum):
+class PayloadKind(Enum):
     """The kind of content that the bytes belong to."""
 
     WEIGHTS = "weights"
     MANIFEST = "manifest"
 
 
-def byte_counter(cargo: Cargo, link: Link) -> str:
+def byte_counter(cargo: PayloadKind, link: LinkKind) -> str:
     """Return the name of the counter of received bytes."""
     return f"bytes_{cargo.value}_{link.value}"
--- a/src/ridgecourse/core/claim.py
+++ b/src/ridgecourse/core/claim.py
@@ -149,13 +149,13 @@
     Attributes:
         limit: Maximum number of requests in memory; the oldest are dropped first.
         states: State of each request.
-        forgotten: Whether any request was dropped.
+        has_dropped: Whether any request was dropped.
     """
 
     def __init__(self, limit: int = 50_000) -> None:
         self.limit = limit
         self.states: dict[RequestId, KeyState] = {}
-        self.forgotten = False
+        self.has_dropped = False
 
     def start(self, request_id: RequestId) -> bool:
         """Record the start of a request.
@@ -190,4 +190,4 @@
         self.states[state.request_id] = state
         if len(self.states) > self.limit:
             del self.states[next(iter(self.states))]
-            self.forgotten = True
+            self.has_dropped = True
--- a/src/ridgecourse/core/patience.py
+++ b/src/ridgecourse/core/client_timeout.py
@@ -10,10 +10,10 @@
 
 from collections import deque
 
-WINDOW = 64
+SAMPLE_SIZE = 64
 """Number of recent requests of a route in the sample: at 10 requests per second, those
 of the last 6 s, which is as long as clients wait."""
-USUAL_SHARE = 0.75
+USUAL_QUANTILE = 0.75
 """Quantile of the sample that is the usual client timeout at a first attempt. While
 all refused clients retry, up to half of a route's requests are retries."""
 LOW_QUANTILE, HIGH_QUANTILE = 0.6, 0.9
@@ -23,11 +23,11 @@
 """How far the remaining time of a client at its first attempt may be below the usual
 timeout, as a multiple of the distance between the two quantiles. For uniformly
 distributed timeouts 2.5 would do; the factor is larger because the sample is small."""
-FEWEST = 8
+MIN_SAMPLE_SIZE = 8
 """Number of requests below which no client is taken for a retry."""
 
 
-class UsualPatience:
+class UsualClientTimeout:
     """Learns the client timeout at the first attempt on one route.
 
     Attributes:
@@ -35,7 +35,7 @@
     """
 
     def __init__(self) -> None:
-        self.recent: deque[float] = deque(maxlen=WINDOW)
+        self.recent: deque[float] = deque(maxlen=SAMPLE_SIZE)
 
     def observe(self, remaining: float) -> float:
         """Record a client's remaining time and estimate how long the client has waited.
@@ -47,11 +47,11 @@
             Seconds that the client has waited; 0 for a first attempt.
         """
         self.recent.append(remaining)
-        if len(self.recent) < FEWEST:
+        if len(self.recent) < MIN_SAMPLE_SIZE:
             return 0.0
         ordered = sorted(self.recent)
         last_index = len(ordered) - 1
-        usual_timeout = ordered[int(USUAL_SHARE * last_index)]
+        usual_timeout = ordered[int(USUAL_QUANTILE * last_index)]
         spread = (
             ordered[int(HIGH_QUANTILE * last_index)]
             - ordered[int(LOW_QUANTILE * last_index)]
--- a/src/ridgecourse/core/suspect.py
+++ b/src/ridgecourse/core/crash_reports.py
@@ -9,10 +9,10 @@
 from msgspec import Struct, field
 from msgspec.structs import replace
 
-from ridgecourse.core.engine_life import EngineLife
+from ridgecourse.core.engine_incarnation import EngineIncarnation
 from ridgecourse.core.ids import ProcessName, RequestId, RequestSignature, Seconds
 
-MARK_SECONDS = 600.0
+STRIKE_SECONDS = 600.0
 """Time for which a strike counts. A blocked request is tried about once in this time,
 so that a request that was blocked by mistake, or whose engines were repaired, is served
 again."""
@@ -29,11 +29,11 @@
         age: Seconds since the end.
     """
 
-    life: EngineLife
+    incarnation: EngineIncarnation
     age: float
 
 
-class SuspectNews(Struct, frozen=True, array_like=True):
+class CrashReport(Struct, frozen=True, array_like=True):
     """The crash report of one gateway on one request.
 
     Attributes:
@@ -46,13 +46,15 @@
     signature: RequestSignature
     ends: tuple[EngineEnd, ...]
     cleared: tuple[EngineEnd, ...] = ()
-    trial: EngineLife | None = None
+    trial: EngineIncarnation | None = None
 
-    def uncleared(self) -> set[EngineLife]:
+    def uncleared(self) -> set[EngineIncarnation]:
         """Return the engines whose ends are strikes according to this report."""
-        return {end.life for end in self.ends} - {end.life for end in self.cleared}
+        return {end.incarnation for end in self.ends} - {
+            end.incarnation for end in self.cleared
+        }
 
-    def older(self, seconds: float) -> "SuspectNews":
+    def with_added_age(self, seconds: float) -> "CrashReport":
         """Return the same report with higher ages.
 
         Args:
@@ -60,9 +62,11 @@
         """
         return replace(
             self,
-            ends=tuple(EngineEnd(end.life, end.age + seconds) for end in self.ends),
+            ends=tuple(
+                EngineEnd(end.incarnation, end.age + seconds) for end in self.ends
+            ),
             cleared=tuple(
-                EngineEnd(end.life, end.age + seconds) for end in self.cleared
+                EngineEnd(end.incarnation, end.age + seconds) for end in self.cleared
             ),
         )
 
@@ -79,7 +83,7 @@
 
     request_id: RequestId
     signature: RequestSignature
-    life: EngineLife
+    incarnation: EngineIncarnation
     address: str
 
 
@@ -91,7 +95,7 @@
         until: Time at which the request is assumed to have ended.
     """
 
-    life: EngineLife
+    incarnation: EngineIncarnation
     until: Seconds
 
 
@@ -106,18 +110,18 @@
         is_sent_to_all: Whether the reports on the request go to all gateways.
     """
 
-    ends: dict[EngineLife, Seconds] = field(default_factory=dict)
-    cleared: dict[EngineLife, Seconds] = field(default_factory=dict)
+    ends: dict[EngineIncarnation, Seconds] = field(default_factory=dict)
+    cleared: dict[EngineIncarnation, Seconds] = field(default_factory=dict)
     trials: dict[ProcessName, Trial] = field(default_factory=dict)
     changed_at: Seconds = Seconds(0.0)
     is_sent_to_all: bool = False
 
-    def marks(self, now: Seconds) -> frozenset[EngineLife]:
+    def strikes(self, now: Seconds) -> frozenset[EngineIncarnation]:
         """Return the engines whose ends are strikes against the request."""
         incarnations = {
             incarnation
             for incarnation, ended_at in self.ends.items()
-            if incarnation not in self.cleared and now - ended_at <= MARK_SECONDS
+            if incarnation not in self.cleared and now - ended_at <= STRIKE_SECONDS
         }
         # An incarnation without a start may be any incarnation of its target, so it is
         # no strike next to one with a start.
@@ -133,13 +137,15 @@
             or incarnation.target not in targets_with_start
         )
 
-    def trial_incarnations(self, now: Seconds) -> Iterator[EngineLife]:
+    def trial_incarnations(self, now: Seconds) -> Iterator[EngineIncarnation]:
         """Yield the engines on which other gateways run the request."""
-        return (trial.life for trial in self.trials.values() if trial.until > now)
+        return (
+            trial.incarnation for trial in self.trials.values() if trial.until > now
+        )
 
 
 def report_ends(
-    ends: Mapping[EngineLife, Seconds], now: Seconds
+    ends: Mapping[EngineIncarnation, Seconds], now: Seconds
 ) -> tuple[EngineEnd, ...]:
     """Return the newest ends with their ages, as they are sent to other gateways."""
     newest = sorted(ends.items(), key=lambda item: item[1])[-MAX_REPORTED_ENDS:]
--- a/src/ridgecourse/core/crash_suspects.py
+++ b/src/ridgecourse/core/crash_suspects.py
@@ -13,7 +13,7 @@
 - A request with 3 strikes is blocked. Ends that a blocked request explains are no
   strikes against the other requests that were at the same engine.
 
-Gateways exchange their records as ``SuspectNews``. Applying a crash report is
+Gateways exchange their records as ``CrashReport``. Applying a crash report is
 idempotent and independent of the order, so reports may be lost, duplicated or late.
 """
 
@@ -22,27 +22,27 @@
 from enum import Enum
 from itertools import groupby
 
-from ridgecourse.core.engine_life import EngineLife
-from ridgecourse.core.ids import ProcessName, RequestSignature, Seconds
-from ridgecourse.core.suspect import (
-    MARK_SECONDS,
+from ridgecourse.core.crash_reports import (
+    STRIKE_SECONDS,
+    CrashReport,
     Suspect,
-    SuspectNews,
     Trial,
     report_ends,
 )
+from ridgecourse.core.engine_incarnation import EngineIncarnation
+from ridgecourse.core.ids import ProcessName, RequestSignature, Seconds
 
-BLOCKING_MARKS = 3
+BLOCKING_STRIKES = 3
 """Strikes from which on a request is blocked. The end of 1 engine is a coincidence, and
 a second end may be one; a third costs clients more than the request is worth."""
-LONE_MARKS = 2
+EXCLUSIVE_STRIKES = 2
 """Strikes from which on a request runs only once among all gateways."""
 TRIAL_SECONDS = 2.0
 """Time for which another gateway is assumed to run a request without a further report:
 a usual answer is complete by then."""
 RANKING_INTERVAL_SECONDS = 1.0
 """Interval at which expired strikes are dropped."""
-MOST_SUSPECTS = 256
+MAX_SUSPECTS = 256
 """Maximum number of suspected requests; those with the fewest strikes are dropped
 first. The end of an engine is a strike against each of the requests at the engine, some
 tens."""
@@ -51,7 +51,7 @@
 last 40 s of a gateway."""
 
 
-class Verdict(Enum):
+class SendDecision(Enum):
     """The decision whether a request may be sent.
 
     FREE: The request may be sent at once.
@@ -80,28 +80,28 @@
     def __init__(self) -> None:
         self.suspects: dict[RequestSignature, Suspect] = {}
         self.successes: OrderedDict[RequestSignature, Seconds] = OrderedDict()
-        self.flights: dict[RequestSignature, Counter[EngineLife]] = {}
-        self.blocked: dict[RequestSignature, frozenset[EngineLife]] = {}
+        self.flights: dict[RequestSignature, Counter[EngineIncarnation]] = {}
+        self.blocked: dict[RequestSignature, frozenset[EngineIncarnation]] = {}
         self.counts: dict[RequestSignature, int] = {}
         self.ranked_at: Seconds | None = None
 
     # Decisions.
 
-    def judge(self, signature: RequestSignature, now: Seconds) -> Verdict:
+    def check(self, signature: RequestSignature, now: Seconds) -> SendDecision:
         """Decide whether a request may be sent."""
         suspect = self.suspects.get(signature)
         if suspect is None:
-            return Verdict.FREE
-        count = self.count_marks(signature, now)
+            return SendDecision.FREE
+        count = self.count_strikes(signature, now)
         if signature in self.blocked:
-            return Verdict.BLOCKED
+            return SendDecision.BLOCKED
         if count and signature in self.flights:
-            return Verdict.WAIT
-        if count >= LONE_MARKS and any(suspect.trial_incarnations(now)):
-            return Verdict.WAIT
-        return Verdict.FREE
+            return SendDecision.WAIT
+        if count >= EXCLUSIVE_STRIKES and any(suspect.trial_incarnations(now)):
+            return SendDecision.WAIT
+        return SendDecision.FREE
 
-    def count_marks(self, signature: RequestSignature, now: Seconds) -> int:
+    def count_strikes(self, signature: RequestSignature, now: Seconds) -> int:
         """Return the number of strikes of a request without another explanation.
 
         The strike of a request that is not blocked has another explanation if a blocked
@@ -115,16 +115,18 @@
         self._rank_if_outdated(now)
         return frozenset(self.blocked)
 
-    def blocked_for(self, signature: RequestSignature, now: Seconds) -> float:
+    def blocked_seconds(self, signature: RequestSignature, now: Seconds) -> float:
         """Return the seconds until a blocked request may be tried again."""
         self._rank_if_outdated(now)
         suspect = self.suspects[signature]
         ends = sorted(
             suspect.ends[incarnation] for incarnation in self.blocked[signature]
         )
-        return max(0.0, ends[-BLOCKING_MARKS] + MARK_SECONDS - now)
+        return max(0.0, ends[-BLOCKING_STRIKES] + STRIKE_SECONDS - now)
 
-    def avoided(self, signature: RequestSignature, now: Seconds) -> Set[EngineLife]:
+    def engines_to_avoid(
+        self, signature: RequestSignature, now: Seconds
+    ) -> Set[EngineIncarnation]:
         """Return the engines to which a request should not be sent.
 
         A request that crashes its engine fails the other requests at the engine. And 2
@@ -133,9 +135,11 @@
         if not self.suspects:
             return frozenset()
         min_strikes = (
-            1 if self.count_marks(signature, now) >= LONE_MARKS else LONE_MARKS
+            1
+            if self.count_strikes(signature, now) >= EXCLUSIVE_STRIKES
+            else EXCLUSIVE_STRIKES
         )
-        incarnations: set[EngineLife] = set()
+        incarnations: set[EngineIncarnation] = set()
         for other, suspect in self.suspects.items():
             if other != signature and self.counts[other] >= min_strikes:
                 incarnations.update(self.flights.get(other, ()))
@@ -144,11 +148,15 @@
 
     # Events at this gateway.
 
-    def begin(self, signature: RequestSignature, incarnation: EngineLife) -> None:
+    def begin(
+        self, signature: RequestSignature, incarnation: EngineIncarnation
+    ) -> None:
         """Record that a request is sent to an engine."""
         self.flights.setdefault(signature, Counter())[incarnation] += 1
 
-    def finish(self, signature: RequestSignature, incarnation: EngineLife) -> None:
+    def finish(
+        self, signature: RequestSignature, incarnation: EngineIncarnation
+    ) -> None:
         """Record that a request has left an engine."""
         flights = self.flights[signature]
         flights[incarnation] -= 1
@@ -157,8 +165,11 @@
         if not flights:
             del self.flights[signature]
 
-    def note_end(
-        self, signature: RequestSignature, incarnation: EngineLife, ended_at: Seconds
+    def record_end(
+        self,
+        signature: RequestSignature,
+        incarnation: EngineIncarnation,
+        ended_at: Seconds,
     ) -> bool:
         """Record that an engine ended while it ran a request.
 
@@ -184,7 +195,7 @@
         self._record_change(suspect, ended_at)
         return True
 
-    def note_success(self, signature: RequestSignature, now: Seconds) -> bool:
+    def record_success(self, signature: RequestSignature, now: Seconds) -> bool:
         """Record that a request was answered.
 
         Returns:
@@ -195,7 +206,7 @@
         if len(self.successes) > MAX_SUCCESSES:
             self.successes.popitem(last=False)
         suspect = self.suspects.get(signature)
-        if suspect is None or not suspect.marks(now):
+        if suspect is None or not suspect.strikes(now):
             return False
         suspect.cleared.update(suspect.ends)
         self._record_change(suspect, now)
@@ -203,19 +214,21 @@
 
     # Exchange with other gateways.
 
-    def tell(self, signature: RequestSignature, now: Seconds) -> SuspectNews:
+    def make_report(self, signature: RequestSignature, now: Seconds) -> CrashReport:
         """Return the crash report on a request."""
         suspect = self.suspects[signature]
-        is_exclusive = self.count_marks(signature, now) >= LONE_MARKS
+        is_exclusive = self.count_strikes(signature, now) >= EXCLUSIVE_STRIKES
         flights = self.flights.get(signature) if is_exclusive else None
-        return SuspectNews(
+        return CrashReport(
             signature,
             report_ends(suspect.ends, now),
             report_ends(suspect.cleared, now),
             next(iter(flights)) if flights else None,
         )
 
-    def take(self, news: SuspectNews, sender: ProcessName, now: Seconds) -> bool:
+    def apply_report(
+        self, news: CrashReport, sender: ProcessName, now: Seconds
+    ) -> bool:
         """Apply a crash report of another gateway.
 
         Args:
@@ -226,19 +239,21 @@
         Returns:
             Whether the report has changed the ends or the cleared ends of the request.
         """
-        ends = [end for end in news.ends if end.age <= MARK_SECONDS]
+        ends = [end for end in news.ends if end.age <= STRIKE_SECONDS]
         if not ends:
             return False
         suspect = self._get_or_add_suspect(news.signature)
-        if len(news.uncleared()) >= LONE_MARKS:
+        if len(news.uncleared()) >= EXCLUSIVE_STRIKES:
             suspect.is_sent_to_all = True
         changes = [
-            self.note_end(news.signature, end.life, Seconds(now - end.age))
+            self.record_end(news.signature, end.incarnation, Seconds(now - end.age))
             for end in ends
         ]
-        cleared = [end for end in news.cleared if end.life not in suspect.cleared]
+        cleared = [
+            end for end in news.cleared if end.incarnation not in suspect.cleared
+        ]
         for end in cleared:
-            suspect.cleared[end.life] = Seconds(now - end.age)
+            suspect.cleared[end.incarnation] = Seconds(now - end.age)
         if news.trial is None:
             suspect.trials.pop(sender, None)
         else:
@@ -248,28 +263,28 @@
         self._record_change(suspect, now)
         return True
 
-    def concerns_all(self, signature: RequestSignature, now: Seconds) -> bool:
+    def must_inform_all(self, signature: RequestSignature, now: Seconds) -> bool:
         """Check whether all gateways must be informed of a request from now on.
 
         A single strike is reported to a few gateways only, because the end of an engine
         is a strike against every request that ran there.
         """
         suspect = self.suspects[signature]
-        if self.count_marks(signature, now) >= LONE_MARKS:
+        if self.count_strikes(signature, now) >= EXCLUSIVE_STRIKES:
             suspect.is_sent_to_all = True
         return suspect.is_sent_to_all
 
-    def completes(self, news: SuspectNews, now: Seconds) -> bool:
+    def has_more_strikes(self, news: CrashReport, now: Seconds) -> bool:
         """Check whether all gateways need more strikes than a crash report contains.
 
         Args:
             news: Crash report of another gateway.
             now: Current time.
         """
-        count = self.count_marks(news.signature, now)
-        return count >= LONE_MARKS and count > len(news.uncleared())
+        count = self.count_strikes(news.signature, now)
+        return count >= EXCLUSIVE_STRIKES and count > len(news.uncleared())
 
-    def recent(self, now: Seconds, span: float) -> list[RequestSignature]:
+    def recently_changed(self, now: Seconds, span: float) -> list[RequestSignature]:
         """Return the requests that changed within a time span.
 
         Args:
@@ -282,18 +297,20 @@
             if now - suspect.changed_at <= span
         ]
 
-    def lasting(self, now: Seconds) -> list[RequestSignature]:
+    def find_exclusive(self, now: Seconds) -> list[RequestSignature]:
         """Return the requests that are reported to other gateways at any age."""
         self._rank_if_outdated(now)
         return [
-            signature for signature, count in self.counts.items() if count >= LONE_MARKS
+            signature
+            for signature, count in self.counts.items()
+            if count >= EXCLUSIVE_STRIKES
         ]
 
     # Internal helpers.
 
     def _get_or_add_suspect(self, signature: RequestSignature) -> Suspect:
         if signature not in self.suspects:
-            while len(self.suspects) >= MOST_SUSPECTS:
+            while len(self.suspects) >= MAX_SUSPECTS:
                 del self.suspects[min(self.suspects, key=self._retention_key)]
             self.suspects[signature] = Suspect()
         return self.suspects[signature]
@@ -319,7 +336,7 @@
             ends = {
                 incarnation: ended_at
                 for incarnation, ended_at in suspect.ends.items()
-                if now - ended_at <= MARK_SECONDS
+                if now - ended_at <= STRIKE_SECONDS
             }
             if ends:
                 suspect.ends = ends
@@ -333,24 +350,24 @@
         them may be the culprit.
         """
         strikes_by_request = {
-            signature: suspect.marks(now)
+            signature: suspect.strikes(now)
             for signature, suspect in self.suspects.items()
         }
         candidates = {
             signature: strikes
             for signature, strikes in strikes_by_request.items()
-            if len(strikes) >= BLOCKING_MARKS
+            if len(strikes) >= BLOCKING_STRIKES
         }
         ordered = sorted(candidates, key=lambda signature: -len(candidates[signature]))
-        blocked: dict[RequestSignature, frozenset[EngineLife]] = {}
-        explained: set[EngineLife] = set()
+        blocked: dict[RequestSignature, frozenset[EngineIncarnation]] = {}
+        explained: set[EngineIncarnation] = set()
         for _, names in groupby(
             ordered, key=lambda signature: len(candidates[signature])
         ):
             culprits = [
                 signature
                 for signature in names
-                if len(candidates[signature] - explained) >= BLOCKING_MARKS
+                if len(candidates[signature] - explained) >= BLOCKING_STRIKES
             ]
             for signature in culprits:
                 blocked[signature] = candidates[signature]
--- a/src/ridgecourse/core/engine_life.py
+++ b/src/ridgecourse/core/engine_incarnation.py
@@ -9,7 +9,7 @@
 from ridgecourse.core.ids import EngineStart, TargetId
 
 
-class EngineLife(Struct, frozen=True):
+class EngineIncarnation(Struct, frozen=True):
     """An engine's identity together with its start.
 
     An incarnation without a start comes from an engine of an earlier release, or from a
@@ -24,26 +24,28 @@
     target: TargetId
     started: EngineStart | None
 
-    def is_before(self, other: "EngineLife") -> bool:
+    def precedes(self, other: "EngineIncarnation") -> bool:
         """Check whether this is known to be an earlier incarnation of the same engine.
 
         Args:
             other: Incarnation of the same engine or of another one.
         """
-        return self.target == other.target and is_before(self.started, other.started)
+        return self.target == other.target and starts_before(
+            self.started, other.started
+        )
 
-    def join(self, other: "EngineLife") -> "EngineLife":
+    def latest(self, other: "EngineIncarnation") -> "EngineIncarnation":
         """Return the later of two incarnations of an engine, as far as is known.
 
         Args:
             other: Incarnation of the same engine.
         """
-        if self.started is None or self.is_before(other):
+        if self.started is None or self.precedes(other):
             return other
         return self
 
 
-def is_before(first: EngineStart | None, second: EngineStart | None) -> bool:
+def starts_before(first: EngineStart | None, second: EngineStart | None) -> bool:
     """Check whether a start is known to be earlier than another one.
 
     Args:
--- a/src/ridgecourse/core/engine_load.py
+++ b/src/ridgecourse/core/engine_load.py
@@ -24,19 +24,19 @@
 number, is applied. Changes are reported within 0.1 s unless a datagram is lost."""
 REPORT_LAG_SECONDS = 0.05
 """A request sent less than this time before a report arrived is not counted in it."""
-SILENT_SECONDS = 0.5
+SILENT_WAIT_SECONDS = 0.5
 """Wait added for an engine whose loader has stopped reporting: the instance may be
 frozen, and requests sent to a frozen instance hang."""
 SILENCE_EXPIRY_SECONDS = 12.0
 """Time after which a silent loader adds no wait to its engine. By then, a frozen
 instance has resumed or its target has been removed from the list."""
-NARROW_LINK = 0.5
+SLOW_LINK_SHARE = 0.5
 """Share of its usual rate below which a link counts as slow. Traffic that competes with
 the weights for the link takes a smaller share than that."""
-NARROW_SECONDS = 0.8
+SLOW_LINK_SECONDS = 0.8
 """Wait added for a slow link: requests to the engine behind the link, and the
 connection closes that cancel them, took up to 1 second."""
-UNTOLD_WAY_SECONDS = 1.2
+UNKNOWN_DELAY_SECONDS = 1.2
 """Network delay assumed for an engine whose loader does not report. Bytes took this
 long to reach an engine behind a link of 0.5 Mbit/s that had just been restored."""
 PREFILL_ALLOWANCE_SECONDS = 0.3
@@ -70,13 +70,13 @@
     active: int
     cache_used: int
     cache_total: int
-    pace: float = 1.0
-    link: float = 1.0
-    unread: float = 0.0
+    slowdown: float = 1.0
+    link_share: float = 1.0
+    prefill_backlog: float = 0.0
     started: EngineStart | None = None
 
 
-class UnreadEstimate:
+class PrefillBacklogEstimate:
     """Estimates the remaining prefill time of an engine from its number of requests.
 
     An engine reports how many requests it has, but not how many of them are prefilled.
@@ -92,9 +92,9 @@
     def __init__(self) -> None:
         self.seconds = 0.0
         self.requests = 0
-        self.looked_at: Seconds | None = None
+        self.updated_at: Seconds | None = None
 
-    def look(self, model: EngineModel, requests: int, now: Seconds) -> float:
+    def update(self, model: EngineModel, requests: int, now: Seconds) -> float:
         """Record the number of requests at the engine and update the estimate.
 
         Args:
@@ -105,21 +105,21 @@
         Returns:
             Remaining prefill time in seconds.
         """
-        if self.looked_at is not None:
-            elapsed = now - self.looked_at
+        if self.updated_at is not None:
+            elapsed = now - self.updated_at
             ended = min(
                 self.requests, self.requests * elapsed / _request_seconds(model)
             )
             arrived = max(0.0, requests - self.requests + ended)
-            prefill = prompt_seconds(model, model.prompt_tokens)
+            prefill = prefill_seconds(model, model.prompt_tokens)
             unread = max(0.0, self.seconds - elapsed) + arrived * prefill
             self.seconds = min(unread, requests * prefill)
         self.requests = requests
-        self.looked_at = now
+        self.updated_at = now
         return self.seconds
 
 
-class Pending(Struct, frozen=True):
+class PendingRequest(Struct, frozen=True):
     """A request of this gateway that has no first event yet.
 
     Attributes:
@@ -127,8 +127,8 @@
         prefill_time: Prefill time of the request's prompt, in seconds.
     """
 
-    sent: Seconds
-    reading: float
+    sent_at: Seconds
+    prefill_time: float
 
 
 class EngineLoad(Struct):
@@ -144,11 +144,13 @@
 
     status: EngineStatus | None = None
     reported_at: Seconds = Seconds(0.0)
-    waiting: dict[str, Pending] = field(default_factory=dict)
+    pending: dict[str, PendingRequest] = field(default_factory=dict)
     outstanding: int = 0
-    number: int = 0
+    sequence_number: int = 0
 
-    def report(self, status: EngineStatus, now: Seconds, number: int = 0) -> None:
+    def record_report(
+        self, status: EngineStatus, now: Seconds, number: int = 0
+    ) -> None:
         """Record a report.
 
         Args:
@@ -156,7 +158,7 @@
             now: Current time.
             number: Sequence number of the report; 0 for none.
         """
-        self.number = number or self.number
+        self.sequence_number = number or self.sequence_number
         self.status = status
         self.reported_at = now
 
@@ -173,7 +175,7 @@
             return True
         if number == 0:
             return now - self.reported_at > HEARTBEAT_AGE_SECONDS
-        return number > self.number
+        return number > self.sequence_number
 
     def is_fresh(self, now: Seconds) -> bool:
         """Check whether the newest report is recent enough to be used."""
@@ -192,14 +194,16 @@
             return float(self.outstanding * gateways)
         return float(status.queued + status.active + len(self._unreported()))
 
-    def _unreported(self) -> list[Pending]:
+    def _unreported(self) -> list[PendingRequest]:
         """Return this gateway's requests that the newest report does not count."""
-        if not self.waiting:
+        if not self.pending:
             return []
         since = self.reported_at - REPORT_LAG_SECONDS
-        return [pending for pending in self.waiting.values() if pending.sent >= since]
+        return [
+            pending for pending in self.pending.values() if pending.sent_at >= since
+        ]
 
-    def unread(self, now: Seconds, gateways: int) -> float:
+    def prefill_backlog(self, now: Seconds, gateways: int) -> float:
         """Return the remaining prefill time of the engine, in seconds.
 
         Args:
@@ -209,20 +213,22 @@
         """
         status = self.status
         if status is None or not self.is_fresh(now):
-            return gateways * sum(pending.reading for pending in self.waiting.values())
-        remaining = max(0.0, status.unread - (now - self.reported_at))
+            return gateways * sum(
+                pending.prefill_time for pending in self.pending.values()
+            )
+        remaining = max(0.0, status.prefill_backlog - (now - self.reported_at))
         return remaining + gateways * sum(
-            pending.reading for pending in self._unreported()
+            pending.prefill_time for pending in self._unreported()
         )
 
-    def unanswered(self, now: Seconds) -> float:
+    def overdue_seconds(self, now: Seconds) -> float:
         """Return by how many seconds the first event of the oldest request is overdue.
 
         Only requests of this gateway count.
         """
-        if not self.waiting:
+        if not self.pending:
             return 0.0
-        oldest = min(pending.sent for pending in self.waiting.values())
+        oldest = min(pending.sent_at for pending in self.pending.values())
         return max(0.0, now - oldest - OVERDUE_SECONDS)
 
     def wait(
@@ -237,27 +243,31 @@
             gateways: Number of gateways that send to the engine.
         """
         excess = self.requests(now, gateways) + 1 - slots
-        slowdown = self.status.pace if self.status and self.is_fresh(now) else 1.0
+        slowdown = self.status.slowdown if self.status and self.is_fresh(now) else 1.0
         queue = excess * seconds_per_request(model, slots) if excess > 0 else 0.0
-        backlog = slowdown * max(queue, self.unread(now, gateways))
-        return backlog + self._health_penalty(now) + self.unanswered(now)
+        backlog = slowdown * max(queue, self.prefill_backlog(now, gateways))
+        return backlog + self._health_penalty(now) + self.overdue_seconds(now)
 
     def _health_penalty(self, now: Seconds) -> float:
         """Return the wait added for a silent loader or a slow link, in seconds."""
         age = now - self.reported_at
         if self.status is not None and FRESH_SECONDS < age < SILENCE_EXPIRY_SECONDS:
-            return SILENT_SECONDS
+            return SILENT_WAIT_SECONDS
         return self._link_delay(now)
 
-    def way(self, now: Seconds) -> float:
+    def network_delay(self, now: Seconds) -> float:
         """Return the expected network delay to the engine, in seconds."""
-        return self._link_delay(now) if self.is_fresh(now) else UNTOLD_WAY_SECONDS
+        return self._link_delay(now) if self.is_fresh(now) else UNKNOWN_DELAY_SECONDS
 
     def _link_delay(self, now: Seconds) -> float:
         status = self.status
-        if status is None or not self.is_fresh(now) or status.link >= NARROW_LINK:
+        if (
+            status is None
+            or not self.is_fresh(now)
+            or status.link_share >= SLOW_LINK_SHARE
+        ):
             return 0.0
-        return NARROW_SECONDS
+        return SLOW_LINK_SECONDS
 
 
 def seconds_per_request(model: EngineModel, slots: int) -> float:
@@ -271,7 +281,7 @@
     step = model.step + slots * (
         model.step_per_request + model.step_per_token * context
     )
-    prefill = prompt_seconds(model, model.prompt_tokens)
+    prefill = prefill_seconds(model, model.prompt_tokens)
     return prefill + model.answer_tokens * step / max(1, slots)
 
 
@@ -280,7 +290,7 @@
     return model.answer_tokens * model.step + PREFILL_ALLOWANCE_SECONDS
 
 
-def prompt_seconds(model: EngineModel, tokens: float) -> float:
+def prefill_seconds(model: EngineModel, tokens: float) -> float:
     """Return the prefill time of a prompt, in seconds.
 
     Args:
--- a/src/ridgecourse/core/engine_limits.py
+++ b/src/ridgecourse/core/engine_rate_limits.py
@@ -14,10 +14,10 @@
 
 from msgspec import Struct
 
-from ridgecourse.core.engine_life import EngineLife
+from ridgecourse.core.engine_incarnation import EngineIncarnation
 from ridgecourse.core.hubs import Peer
 from ridgecourse.core.ids import DomainName, Seconds, TargetId
-from ridgecourse.core.latest_lives import LatestIncarnations
+from ridgecourse.core.latest_incarnations import LatestIncarnations
 from ridgecourse.core.rendezvous import rendezvous_rank
 from ridgecourse.core.site import Site
 
@@ -32,7 +32,7 @@
 MIN_RATE_PER_SECOND = 0.25
 """Lower bound of the rate at which all gateways together send to an engine, also if its
 limit is lower or 0. Only an answer shows that the engine accepts more."""
-REMEMBERED_SECONDS = 12.0
+LIMIT_VALID_SECONDS = 12.0
 """Age of the limit above which a gateway does not rely on the sending gateways to
 announce the end of the limit: the time of 3 requests at the lowest rate."""
 SHARE_REFRESH_SECONDS = 0.5
@@ -40,7 +40,7 @@
 gateways changes."""
 
 
-class LimitNews(Struct, frozen=True, array_like=True):
+class LimitAnnouncement(Struct, frozen=True, array_like=True):
     """The limit of one engine as a gateway announces it to other gateways.
 
     Attributes:
@@ -49,7 +49,7 @@
         age: Seconds since a gateway received the limit from the engine.
     """
 
-    life: EngineLife
+    incarnation: EngineIncarnation
     rate: float | None
     age: float
 
@@ -75,7 +75,7 @@
     share_computed_at: Seconds = Seconds(-inf)
 
 
-class EngineLimits:
+class EngineRateLimits:
     """The rate limits of engines that one gateway knows.
 
     Attributes:
@@ -86,13 +86,13 @@
 
     def __init__(self, site: Site, local: Peer) -> None:
         self.site = site
-        self.me = local
+        self.local = local
         self.states: LatestIncarnations[LimitState] = LatestIncarnations(
             lambda incarnation: LimitState()
         )
 
-    def hear(
-        self, incarnation: EngineLife, rate: float | None, received_at: Seconds
+    def record_limit(
+        self, incarnation: EngineIncarnation, rate: float | None, received_at: Seconds
     ) -> bool:
         """Record a limit from an answer or from another gateway.
 
@@ -105,9 +105,9 @@
         Returns:
             Whether the limit has changed.
         """
-        if incarnation.is_before(self.states.latest(incarnation)):
+        if incarnation.precedes(self.states.latest(incarnation)):
             return False
-        state = self.states.of(incarnation)
+        state = self.states.value_of(incarnation)
         if received_at <= state.received_at:
             return False
         state.received_at = received_at
@@ -117,16 +117,16 @@
             state.interval, state.share_computed_at = inf, Seconds(-inf)
         return changed
 
-    def limited(self, incarnation: EngineLife) -> bool:
+    def is_limited(self, incarnation: EngineIncarnation) -> bool:
         """Check whether an engine advertises a limit."""
         return (
-            incarnation.target in self.states.lives
-            and self.states.of(incarnation).rate is not None
+            incarnation.target in self.states.incarnations
+            and self.states.value_of(incarnation).rate is not None
         )
 
     def wait(
         self,
-        incarnation: EngineLife,
+        incarnation: EngineIncarnation,
         domain: DomainName,
         gateways: Collection[Peer],
         now: Seconds,
@@ -139,22 +139,22 @@
             gateways: Other known gateways.
             now: Current time.
         """
-        if not self.limited(incarnation):
+        if not self.is_limited(incarnation):
             return 0.0
-        state = self.states.of(incarnation)
+        state = self.states.value_of(incarnation)
         if now - state.share_computed_at >= SHARE_REFRESH_SECONDS:
             self._compute_share(state, incarnation.target, domain, gateways, now)
         return max(0.0, state.next_send_at - now) if state.interval < inf else inf
 
-    def take(self, incarnation: EngineLife, now: Seconds) -> None:
+    def record_send(self, incarnation: EngineIncarnation, now: Seconds) -> None:
         """Record that a request is sent to an engine, at once or at the gateway's turn.
 
         Args:
             incarnation: Incarnation of the engine.
             now: Current time.
         """
-        if self.limited(incarnation):
-            state = self.states.of(incarnation)
+        if self.is_limited(incarnation):
+            state = self.states.value_of(incarnation)
             turn_at = max(state.next_send_at, now - CATCH_UP_SECONDS)
             state.next_send_at = Seconds(turn_at + state.interval)
 
@@ -167,12 +167,12 @@
         now: Seconds,
     ) -> None:
         rate = max(state.rate or 0.0, MIN_RATE_PER_SECOND)
-        members = {peer.name: peer for peer in [*gateways, self.me]}
+        members = {peer.name: peer for peer in [*gateways, self.local]}
         sender_count = len(members)
-        if now - state.received_at <= REMEMBERED_SECONDS:
+        if now - state.received_at <= LIMIT_VALID_SECONDS:
             sender_count = min(sender_count, ceil(rate * SENDERS_PER_RATE))
         ranked = self.rank(target, domain, members.values())
-        position = [peer.name for peer in ranked].index(self.me.name)
+        position = [peer.name for peer in ranked].index(self.local.name)
         interval = sender_count / rate if position < sender_count else inf
         if state.interval == inf and interval < inf:
             # All gateways receive the limit at about the same time: the first sends
@@ -202,7 +202,9 @@
 
     # Exchange with other gateways.
 
-    def due(self, now: Seconds, interval: float) -> list[LimitNews]:
+    def due_announcements(
+        self, now: Seconds, interval: float
+    ) -> list[LimitAnnouncement]:
         """Return the limits that this gateway has to announce again.
 
         Only limits of engines to which this gateway sends are announced, since it
@@ -212,22 +214,26 @@
             now: Current time.
             interval: Seconds between two announcements of a limit.
         """
-        incarnations = self.states.lives.values()
+        incarnations = self.states.incarnations.values()
         return [
-            self.tell(incarnation, now)
+            self.announce(incarnation, now)
             for incarnation in incarnations
-            if self.limited(incarnation)
-            and self.states.of(incarnation).interval < inf
-            and now - self.states.of(incarnation).announced_at >= interval
+            if self.is_limited(incarnation)
+            and self.states.value_of(incarnation).interval < inf
+            and now - self.states.value_of(incarnation).announced_at >= interval
         ]
 
-    def tell(self, incarnation: EngineLife, now: Seconds) -> LimitNews:
+    def announce(
+        self, incarnation: EngineIncarnation, now: Seconds
+    ) -> LimitAnnouncement:
         """Return the announcement of an engine's limit and record when it was made.
 
         Args:
             incarnation: Incarnation of the engine.
             now: Current time.
         """
-        state = self.states.of(incarnation)
+        state = self.states.value_of(incarnation)
         state.announced_at = now
-        return LimitNews(incarnation, state.rate, round(now - state.received_at, 3))
+        return LimitAnnouncement(
+            incarnation, state.rate, round(now - state.received_at, 3)
+        )
--- a/src/ridgecourse/core/exchange_place.py
+++ b/src/ridgecourse/core/exchange_role.py
@@ -8,10 +8,10 @@
 
 from collections.abc import Iterable, Iterator, Sequence
 
-from ridgecourse.core.fetches import Member, PlanPolicy
+from ridgecourse.core.fetch_slots import FetchSlot, origin_candidates, slot_candidates
+from ridgecourse.core.fetch_types import Member, PlanPolicy
 from ridgecourse.core.ids import DomainName, RootDigest, Seconds, TargetName
 from ridgecourse.core.rendezvous import rendezvous_rank
-from ridgecourse.core.slots import FetchSlot, origin_candidates, slot_candidates
 
 FOLLOWING_CANDIDATES = 2
 """Number of first candidates of a class that follow the holdings of the class's first
--- a/src/ridgecourse/core/draw_order.py
+++ b/src/ridgecourse/core/fetch_order.py
@@ -18,7 +18,7 @@
 from msgspec import Struct
 
 from ridgecourse.core.ids import Seconds
-from ridgecourse.core.supersession import START_SECONDS
+from ridgecourse.core.supersession import STAGING_SECONDS
 
 DISTRIBUTION_SECONDS = 1.0
 """Seconds from the last chunk's arrival at a gateway until it reaches an engine's
@@ -28,7 +28,7 @@
 which a failed origin is restarted."""
 
 
-class Draw(Struct, frozen=True):
+class PendingFetch(Struct, frozen=True):
     """The remaining fetch of a version.
 
     Attributes:
@@ -40,7 +40,7 @@
     bound: Seconds
 
 
-def goes_first(older: Draw, newer: Draw, now: Seconds) -> bool:
+def is_fetched_first(older: PendingFetch, newer: PendingFetch, now: Seconds) -> bool:
     """Return whether an older version is fetched completely before a newer one.
 
     If not, the older version need not be fetched at all: without it the newer one is
@@ -59,7 +59,7 @@
 
 
 def _idle_seconds_with_both(
-    older: Draw, newer: Draw, now: Seconds, outage_start: float
+    older: PendingFetch, newer: PendingFetch, now: Seconds, outage_start: float
 ) -> float:
     """Return the seconds without weights if both are fetched, the older one first."""
     older_ready, newer_ready = _ready_times((older, newer), outage_start)
@@ -68,14 +68,16 @@
 
 
 def _idle_seconds_newer_only(
-    newer: Draw, bound: Seconds, now: Seconds, outage_start: float
+    newer: PendingFetch, bound: Seconds, now: Seconds, outage_start: float
 ) -> float:
     """Return the seconds without weights if only the newer version is fetched."""
     (ready,) = _ready_times((newer,), outage_start)
     return max(0.0, now + ready - bound)
 
 
-def _ready_times(fetches: tuple[Draw, ...], outage_start: float) -> Iterator[float]:
+def _ready_times(
+    fetches: tuple[PendingFetch, ...], outage_start: float
+) -> Iterator[float]:
     """Yield the seconds after which engines have each of some versions.
 
     Args:
@@ -86,4 +88,4 @@
     for fetch in fetches:
         total += fetch.seconds
         outage = OUTAGE_SECONDS if total > outage_start else 0.0
-        yield total + outage + DISTRIBUTION_SECONDS + START_SECONDS
+        yield total + outage + DISTRIBUTION_SECONDS + STAGING_SECONDS
--- a/src/ridgecourse/core/first_events.py
+++ b/src/ridgecourse/core/first_event_delay.py
@@ -52,7 +52,7 @@
         self.deviation += sample_weight * (abs(delay - self.mean) - self.deviation)
         self.mean += sample_weight * (delay - self.mean)
 
-    def expect(self, now: Seconds) -> float:
+    def expected_delay(self, now: Seconds) -> float:
         """Return the seconds to add to an estimate; never negative."""
         delay = self.mean + DEVIATION_SHARE * self.deviation
         return max(0.0, delay) * min(1.0, self._decayed_weight(now))
--- a/src/ridgecourse/core/hubs.py
+++ b/src/ridgecourse/core/hubs.py
@@ -14,7 +14,7 @@
 
 from ridgecourse.core.ids import DomainName, TargetName
 from ridgecourse.core.rendezvous import rendezvous_rank
-from ridgecourse.core.targets import ListedTarget
+from ridgecourse.core.target_list import ListedTarget
 
 GATEWAYS_PATH = "/gateways"
 """URL path under which a gateway lists the known gateways."""
@@ -101,7 +101,7 @@
     }
 
 
-def seed_peers(seeds: Iterable[str], chunk_port: int) -> Sequence[str]:
+def make_seed_addresses(seeds: Iterable[str], chunk_port: int) -> Sequence[str]:
     """Return the HOST:PORT addresses for records of the processes on some instances.
 
     Args:
@@ -128,12 +128,12 @@
     """
 
     hubs: Sequence[Peer]
-    near: Sequence[Peer]
-    holds: bool
+    local_gateways: Sequence[Peer]
+    fetches_version: bool
 
     def sources(self, local: Peer) -> Mapping[TargetName, Peer]:
         """Return the peers from which the local gateway fetches chunks, by name."""
-        peers = {peer.name: peer for peer in [*self.hubs, *self.near]}
+        peers = {peer.name: peer for peer in [*self.hubs, *self.local_gateways]}
         peers.pop(local.name, None)
         return peers
 
--- a/src/ridgecourse/core/ids.py
+++ b/src/ridgecourse/core/ids.py
@@ -17,7 +17,7 @@
 RequestSignature = NewType("RequestSignature", bytes)
 """Digest of a request's content; equal for every repetition of the request."""
 TargetId = NewType("TargetId", str)
-"""Name of a target as the platform lists it; see ``EngineLife`` for its
+"""Name of a target as the platform lists it; see ``EngineIncarnation`` for its
 incarnations."""
 EngineStart = NewType("EngineStart", int)
 """Start time of an engine in Unix milliseconds on its own clock; orders the engine's
--- a/src/ridgecourse/core/known_loads.py
+++ b/src/ridgecourse/core/known_loads.py
@@ -1,9 +1,9 @@
 """The loads of all engines, for the latest incarnation of each engine."""
 
-from ridgecourse.core.engine_life import EngineLife
+from ridgecourse.core.engine_incarnation import EngineIncarnation
 from ridgecourse.core.engine_load import EngineLoad, EngineStatus
 from ridgecourse.core.ids import Seconds
-from ridgecourse.core.latest_lives import LatestIncarnations
+from ridgecourse.core.latest_incarnations import LatestIncarnations
 
 
 class KnownLoads(LatestIncarnations[EngineLoad]):
@@ -16,8 +16,12 @@
     def __init__(self) -> None:
         super().__init__(lambda incarnation: EngineLoad())
 
-    def report(
-        self, incarnation: EngineLife, status: EngineStatus, now: Seconds, number: int
+    def record_report(
+        self,
+        incarnation: EngineIncarnation,
+        status: EngineStatus,
+        now: Seconds,
+        number: int,
     ) -> bool:
         """Record a report if it is newer than the known load.
 
@@ -30,10 +34,10 @@
         Returns:
             Whether the report was recorded.
         """
-        if incarnation.is_before(self.latest(incarnation)):
+        if incarnation.precedes(self.latest(incarnation)):
             return False
-        load = self.of(incarnation)
+        load = self.value_of(incarnation)
         if not load.is_newer(number, now):
             return False
-        load.report(status, now, number)
+        load.record_report(status, now, number)
         return True
--- a/src/ridgecourse/core/latest_lives.py
+++ b/src/ridgecourse/core/latest_incarnations.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Container
 from typing import Generic, TypeVar
 
-from ridgecourse.core.engine_life import EngineLife
+from ridgecourse.core.engine_incarnation import EngineIncarnation
 from ridgecourse.core.ids import TargetId
 
 ValueT = TypeVar("ValueT")
@@ -22,38 +22,38 @@
         values: Value of the latest incarnation of each engine.
     """
 
-    def __init__(self, make: Callable[[EngineLife], ValueT]) -> None:
+    def __init__(self, make: Callable[[EngineIncarnation], ValueT]) -> None:
         self.make = make
-        self.lives: dict[TargetId, EngineLife] = {}
+        self.incarnations: dict[TargetId, EngineIncarnation] = {}
         self.values: dict[TargetId, ValueT] = {}
 
-    def latest(self, incarnation: EngineLife) -> EngineLife:
+    def latest(self, incarnation: EngineIncarnation) -> EngineIncarnation:
         """Record an incarnation and return the latest known one of the same engine.
 
         Args:
             incarnation: Incarnation of the engine; later or earlier than the known one.
         """
-        known = self.lives.get(incarnation.target)
+        known = self.incarnations.get(incarnation.target)
         if known == incarnation:
             return known
-        if known is None or known.is_before(incarnation):
+        if known is None or known.precedes(incarnation):
             self.values[incarnation.target] = self.make(incarnation)
-        self.lives[incarnation.target] = (
-            known.join(incarnation) if known else incarnation
+        self.incarnations[incarnation.target] = (
+            known.latest(incarnation) if known else incarnation
         )
-        return self.lives[incarnation.target]
+        return self.incarnations[incarnation.target]
 
-    def of(self, incarnation: EngineLife) -> ValueT:
+    def value_of(self, incarnation: EngineIncarnation) -> ValueT:
         """Return the value of an engine's latest incarnation.
 
         Args:
             incarnation: Any incarnation of the engine, also an earlier one.
         """
-        if self.lives.get(incarnation.target) != incarnation:
+        if self.incarnations.get(incarnation.target) != incarnation:
             self.latest(incarnation)
         return self.values[incarnation.target]
 
     def forget_unlisted(self, listed: Container[TargetId]) -> None:
         """Drop the values of engines that are not listed."""
-        for target in [target for target in self.lives if target not in listed]:
-            del self.lives[target], self.values[target]
+        for target in [target for target in self.incarnations if target not in listed]:
+            del self.incarnations[target], self.values[target]
--- a/src/ridgecourse/core/lease.py
+++ b/src/ridgecourse/core/lease.py
@@ -70,7 +70,7 @@
         self.other_offset = offset
         self.other_seen_at = now
 
-    def granted(
+    def record_grant(
         self, token: Offset, sent_at: Seconds, seconds: float, now: Seconds
     ) -> None:
         """Record the grant of a lease whose record was read back from the log.
--- a/src/ridgecourse/core/letting_in.py
+++ b/src/ridgecourse/core/load_shedding.py
@@ -37,7 +37,7 @@
 requests per second."""
 
 
-class Prospect(Struct, frozen=True):
+class AdmissionEstimate(Struct, frozen=True):
     """The estimated timing of a request at the engine that would start it first.
 
     Attributes:
@@ -55,20 +55,20 @@
     objective: float
     waited: float
     wait: float
-    reading: float
-    fill: float
-    delay: float = 0.0
-    left: float = inf
+    prefill_time: float
+    occupancy: float
+    estimate_error: float = 0.0
+    remaining: float = inf
 
     @property
-    def soonest(self) -> float:
+    def earliest_first_event(self) -> float:
         """Shortest estimated time until the first event, in seconds."""
-        return self.wait + self.reading + FIRST_EVENT_SECONDS
+        return self.wait + self.prefill_time + FIRST_EVENT_SECONDS
 
     @property
     def allowed_wait(self) -> float:
         """Longest wait for which the answer is in time, in seconds; may be below 0."""
-        return self.objective - self.waited - self.reading - FIRST_EVENT_SECONDS
+        return self.objective - self.waited - self.prefill_time - FIRST_EVENT_SECONDS
 
     @property
     def is_late(self) -> bool:
@@ -86,17 +86,17 @@
     return wait <= SPARE_WAIT_SECONDS and occupancy < SPARE_OCCUPANCY
 
 
-def excess_wait(prospect: Prospect) -> float | None:
+def excess_wait(prospect: AdmissionEstimate) -> float | None:
     """Return by how many seconds the wait is too long; None if the request is admitted.
 
     Args:
         prospect: Estimated timing of the request.
     """
-    if prospect.soonest > prospect.left:
-        return prospect.soonest - prospect.left
-    if has_spare_capacity(prospect.wait, prospect.fill):
+    if prospect.earliest_first_event > prospect.remaining:
+        return prospect.earliest_first_event - prospect.remaining
+    if has_spare_capacity(prospect.wait, prospect.occupancy):
         return None
-    wait = prospect.wait + prospect.delay
+    wait = prospect.wait + prospect.estimate_error
     if prospect.is_late:
         return wait
     allowed = prospect.allowed_wait
--- a/src/ridgecourse/core/manifest.py
+++ b/src/ridgecourse/core/manifest.py
@@ -9,8 +9,8 @@
 from msgspec.json import decode, encode
 from returns.result import Failure, Result, Success
 
-from ridgecourse.core.finding import Finding, Findings
 from ridgecourse.core.ids import ChunkDigest, RootDigest
+from ridgecourse.core.problem import Problem, Problems
 
 DIGEST_HEX_LENGTH = 64
 MIN_CHUNK_BYTES = 1024
@@ -32,7 +32,7 @@
     chunks: tuple[ChunkDigest, ...]
 
 
-class ChunkPlace(NamedTuple):
+class ChunkLocation(NamedTuple):
     """The location of a chunk in a version.
 
     Attributes:
@@ -63,18 +63,18 @@
         """Return the length of all files together."""
         return sum(entry.size for entry in self.files)
 
-    def chunk_places(self) -> Iterator[ChunkPlace]:
+    def chunk_locations(self) -> Iterator[ChunkLocation]:
         """Yield each chunk of each file, repeated content included."""
         for entry in self.files:
             for index, digest in enumerate(entry.chunks):
                 start = index * self.chunk_size
                 length = min(self.chunk_size, entry.size - start)
-                yield ChunkPlace(digest, entry.path, start, length)
+                yield ChunkLocation(digest, entry.path, start, length)
 
-    def unique_chunks(self) -> tuple[ChunkPlace, ...]:
+    def unique_chunks(self) -> tuple[ChunkLocation, ...]:
         """Return each distinct chunk once, in the order of first occurrence."""
-        locations: dict[ChunkDigest, ChunkPlace] = {}
-        for location in self.chunk_places():
+        locations: dict[ChunkDigest, ChunkLocation] = {}
+        for location in self.chunk_locations():
             locations.setdefault(location.digest, location)
         return tuple(locations.values())
 
@@ -96,7 +96,7 @@
 
 def parse_manifest(
     data: bytes, expected: RootDigest | None = None
-) -> Result[Manifest, Findings]:
+) -> Result[Manifest, Problems]:
     """Decode and validate a manifest.
 
     Args:
@@ -108,53 +108,53 @@
     """
     if expected is not None and root_digest(data) != expected:
         message = f"has digest {root_digest(data)}, expected {expected}"
-        return Failure((Finding("manifest", message),))
+        return Failure((Problem("manifest", message),))
     try:
         manifest = decode(data, type=Manifest)
     except DecodeError as error:
-        return Failure((Finding("manifest", str(error)),))
-    findings = tuple(find_faults(manifest))
+        return Failure((Problem("manifest", str(error)),))
+    findings = tuple(find_problems(manifest))
     if findings:
         return Failure(findings)
     return Success(manifest)
 
 
-def find_faults(manifest: Manifest) -> Iterator[Finding]:
+def find_problems(manifest: Manifest) -> Iterator[Problem]:
     """Yield the problems of a decoded manifest."""
     if not MIN_CHUNK_BYTES <= manifest.chunk_size <= MAX_CHUNK_BYTES:
         bounds = f"{MIN_CHUNK_BYTES} to {MAX_CHUNK_BYTES}"
-        yield Finding("chunk_size", f"is {manifest.chunk_size}, expected {bounds}")
+        yield Problem("chunk_size", f"is {manifest.chunk_size}, expected {bounds}")
         return
     if not manifest.files:
-        yield Finding("files", "is empty, expected at least one file")
+        yield Problem("files", "is empty, expected at least one file")
     paths = [entry.path for entry in manifest.files]
     if paths != sorted(set(paths)):
-        yield Finding("files", "expected distinct paths in sorted order")
+        yield Problem("files", "expected distinct paths in sorted order")
     lengths: dict[ChunkDigest, int] = {}
     for index, entry in enumerate(manifest.files):
         yield from _find_file_problems(f"files[{index}]", entry, manifest.chunk_size)
-    for location in manifest.chunk_places():
+    for location in manifest.chunk_locations():
         if lengths.setdefault(location.digest, location.length) != location.length:
-            yield Finding(
+            yield Problem(
                 location.path, f"chunk {location.digest} occurs with two lengths"
             )
 
 
 def _find_file_problems(
     location: str, entry: FileEntry, chunk_size: int
-) -> Iterator[Finding]:
+) -> Iterator[Problem]:
     path = PurePosixPath(entry.path)
     if path.is_absolute() or ".." in path.parts or not path.parts:
-        yield Finding(location, f"path {entry.path!r} must be relative, without '..'")
+        yield Problem(location, f"path {entry.path!r} must be relative, without '..'")
     if entry.size < 0:
-        yield Finding(location, f"size is {entry.size}, expected 0 or more")
+        yield Problem(location, f"size is {entry.size}, expected 0 or more")
     expected = -(-entry.size // chunk_size)
     if len(entry.chunks) != expected:
         message = f"{entry.path} has {len(entry.chunks)} chunks, expected {expected}"
-        yield Finding(location, message)
+        yield Problem(location, message)
     for digest in entry.chunks:
         if not is_digest(digest):
-            yield Finding(location, f"{digest!r} is not a BLAKE3 digest in hexadecimal")
+            yield Problem(location, f"{digest!r} is not a BLAKE3 digest in hexadecimal")
 
 
 def is_digest(text: str) -> bool:
--- a/src/ridgecourse/core/old_weights.py
+++ b/src/ridgecourse/core/old_weights.py
@@ -11,16 +11,16 @@
 
 from ridgecourse.core.ids import Seconds
 
-TAKE_BACK_SECONDS = 0.2
+WITHDRAWAL_MARGIN_SECONDS = 0.2
 """Margin, in seconds, before the bound by which a request must have started, in
 addition to the recent network delay and timer delay: both may exceed their recent
 values. The margin is about 20 round trips between the two most distant domains."""
-BEGIN_SECONDS = 0.3
+DISPATCH_TO_FIRST_EVENT_SECONDS = 0.3
 """Seconds from sending a request until its first event, at an engine with a free
 slot."""
 
 
-class TakeBack(Struct, frozen=True):
+class WithdrawalDelays(Struct, frozen=True):
     """The delays that the withdrawal of a request meets on its way to an engine.
 
     Attributes:
@@ -31,14 +31,16 @@
     network_delay: float
     timer_delay: float
 
-    def begin_by(self, bound: Seconds) -> Seconds:
+    def start_deadline(self, bound: Seconds) -> Seconds:
         """Return the time by which a request must have started to avoid withdrawal."""
         return Seconds(
-            bound - TAKE_BACK_SECONDS - self.network_delay - self.timer_delay
+            bound - WITHDRAWAL_MARGIN_SECONDS - self.network_delay - self.timer_delay
         )
 
 
-def may_wait(now: Seconds, wait: float, delay: float, begin_by: Seconds) -> bool:
+def can_start_in_time(
+    now: Seconds, wait: float, delay: float, begin_by: Seconds
+) -> bool:
     """Check whether a request may be sent to an engine with old weights.
 
     Args:
@@ -47,4 +49,4 @@
         delay: Seconds by which first events recently came later than estimated.
         begin_by: When the request must have started.
     """
-    return now + wait + delay + BEGIN_SECONDS < begin_by
+    return now + wait + delay + DISPATCH_TO_FIRST_EVENT_SECONDS < begin_by
--- a/src/ridgecourse/core/outage_tries.py
+++ b/src/ridgecourse/core/outage_retries.py
@@ -13,7 +13,7 @@
 
 from ridgecourse.core.ids import Seconds
 
-TRY_OFTEN = 3
+PERSISTENT_READERS = 3
 """Number of processes that continue to try the store at each retry: one of them may
 have a failed link of its own, and another may be frozen."""
 OTHERS_ATTEMPT_SECONDS = 0.3
@@ -29,7 +29,7 @@
 smaller records, the newest included."""
 
 
-class OutageTries:
+class OutageRetries:
     """Decides when a process that cannot read the store tries again.
 
     Attributes:
@@ -44,20 +44,23 @@
     def __init__(self, random: Random) -> None:
         self.random = random
         self.next_attempt_at: Seconds | None = None
-        self.heard_at = Seconds(0.0)
+        self.confirmed_at = Seconds(0.0)
         self.large_change_at = Seconds(-SERIES_SECONDS)
 
     @property
-    def failing(self) -> bool:
+    def is_failing(self) -> bool:
         """Whether the last attempt failed."""
         return self.next_attempt_at is not None
 
     @property
-    def in_series(self) -> bool:
+    def is_in_series(self) -> bool:
         """Whether an outage is in progress that began in a series of large changes."""
-        return self.failing and self.heard_at - self.large_change_at < SERIES_SECONDS
+        return (
+            self.is_failing
+            and self.confirmed_at - self.large_change_at < SERIES_SECONDS
+        )
 
-    def leaves_to_others(self, failing_upstreams: int, now: Seconds) -> bool:
+    def defers_to_others(self, failing_upstreams: int, now: Seconds) -> bool:
         """Check whether this process leaves attempts to other processes for now.
 
         Args:
@@ -66,11 +69,11 @@
                 answers, this process tries the store itself.
             now: Current time.
         """
-        if self.next_attempt_at is None or failing_upstreams < TRY_OFTEN:
+        if self.next_attempt_at is None or failing_upstreams < PERSISTENT_READERS:
             return False
         return now < self.next_attempt_at
 
-    def note_failure(self, readers: int, now: Seconds) -> None:
+    def record_failure(self, readers: int, now: Seconds) -> None:
         """Record a failed attempt.
 
         Args:
@@ -83,17 +86,17 @@
         pause = OTHERS_ATTEMPT_SECONDS * readers * 2.0 * self.random.random()
         self.next_attempt_at = Seconds(now + pause)
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Record that the store answered."""
         self.next_attempt_at = None
 
-    def note_answer(self, heard_at: Seconds, sizes: Iterable[int]) -> None:
+    def record_answer(self, heard_at: Seconds, sizes: Iterable[int]) -> None:
         """Record an answer of the store or of another process.
 
         Args:
             heard_at: Time at which the answer's data was known to be current.
             sizes: Sizes of the records in the answer, in bytes.
         """
-        self.heard_at = max(self.heard_at, heard_at)
+        self.confirmed_at = max(self.confirmed_at, heard_at)
         if max(sizes, default=0) >= LARGE_BYTES:
-            self.large_change_at = self.heard_at
+            self.large_change_at = self.confirmed_at
--- a/src/ridgecourse/core/placement.py
+++ b/src/ridgecourse/core/placement.py
@@ -20,7 +20,7 @@
 OCCUPANCY_COST_SECONDS = 0.06
 """Extra cost of a full batch compared with an empty one: decoding steps take longer as
 the batch fills."""
-SENDERS = 4
+ASSUMED_SENDERS = 4
 """Number of gateways, this one included, that are assumed to have sent as many requests
 to an engine since its newest report as this gateway has. In ``python -m bench
 placement``, 4 to 6 of 6 gateways give the best results."""
@@ -52,6 +52,6 @@
     """
     penalty = 0.0 if near else REGION_PENALTY_SECONDS
     occupancy_cost = (
-        load.requests(now, SENDERS) / max(1, slots) * OCCUPANCY_COST_SECONDS
+        load.requests(now, ASSUMED_SENDERS) / max(1, slots) * OCCUPANCY_COST_SECONDS
     )
     return wait + penalty + occupancy_cost + random.random() * JITTER_SECONDS
--- a/src/ridgecourse/core/planner.py
+++ b/src/ridgecourse/core/planner.py
@@ -9,8 +9,9 @@
 from collections.abc import Iterable, Iterator, Sequence
 from random import Random
 
-from ridgecourse.core.exchange_place import ExchangeRole
-from ridgecourse.core.fetches import (
+from ridgecourse.core.exchange_role import ExchangeRole
+from ridgecourse.core.fetch_slots import chunk_class
+from ridgecourse.core.fetch_types import (
     ORIGIN,
     Fetch,
     FetchFailure,
@@ -26,7 +27,6 @@
     TargetName,
 )
 from ridgecourse.core.rendezvous import rendezvous_score
-from ridgecourse.core.slots import chunk_class
 
 MAX_SOURCE_FAILURES = 2
 """Number of consecutive failures after which a source counts as lost."""
@@ -62,10 +62,10 @@
         hubs: Iterable[TargetName] = (),
         origin_domain: DomainName | None = None,
     ) -> None:
-        self.place = ExchangeRole(
+        self.role = ExchangeRole(
             local, root, members, policy, origin_copies, hubs, origin_domain
         )
-        self.me = local
+        self.local = local
         self.root = root
         self.policy = policy
         self.random = Random(f"{root}/{local.target}/{seed}")
@@ -79,20 +79,20 @@
         self.seen_in_group = set(self.held)
         self.seen_in_domain = set(self.held)
         self.rarity: dict[ChunkDigest, int] = {}
-        self.members = self.place.members
+        self.members = self.role.members
         self.sources: dict[TargetName, SourceState] = {}
-        self.origin = SourceState(set(self.chunks))
+        self.origin_state = SourceState(set(self.chunks))
         classes = range(policy.classes)
-        self.origin_slots = [self.place.origin_slot(index, now) for index in classes]
-        self.import_slots = [self.place.import_slot(index, now) for index in classes]
+        self.origin_slots = [self.role.origin_slot(index, now) for index in classes]
+        self.import_slots = [self.role.import_slot(index, now) for index in classes]
         for target in self.neighbours():
             self.sources[target] = SourceState(set())
 
     def neighbours(self) -> Sequence[TargetName]:
         """Return the agents whose holdings this agent follows."""
-        return self.place.neighbours(self.import_slots)
+        return self.role.neighbours(self.import_slots)
 
-    def peer_holds(
+    def record_peer_chunks(
         self, peer: TargetName, chunks: Iterable[ChunkDigest], now: Seconds
     ) -> None:
         """Record chunks that a followed agent holds."""
@@ -107,7 +107,7 @@
             self.rarity[digest] = self.rarity.get(digest, 0) + 1
             self._record_seen(digest, domain, now)
 
-    def fleet_holds(self, chunks: Iterable[ChunkDigest], now: Seconds) -> None:
+    def record_fleet_chunks(self, chunks: Iterable[ChunkDigest], now: Seconds) -> None:
         """Record chunks that some agent of the fleet holds, from an indirect report."""
         for digest in chunks:
             if digest not in self.seen:
@@ -119,7 +119,7 @@
         """Record that a chunk is held in a domain; None for an unknown domain."""
         class_index = chunk_class(digest, self.policy.classes)
         self.seen.add(digest)
-        in_group = domain in self.place.group or self.place.origin_copies == 1
+        in_group = domain in self.role.group or self.role.origin_copies == 1
         if in_group and digest not in self.seen_in_group:
             self.seen_in_group.add(digest)
             self.origin_slots[class_index].record_progress(now)
@@ -127,11 +127,11 @@
             # The import slot can stall only once the group holds a chunk to import.
             slot = self.import_slots[class_index]
             slot.last_progress = max(slot.last_progress, now)
-        if domain == self.me.domain and digest not in self.seen_in_domain:
+        if domain == self.local.domain and digest not in self.seen_in_domain:
             self.seen_in_domain.add(digest)
             self.import_slots[class_index].record_progress(now)
 
-    def peer_lost(self, peer: TargetName) -> None:
+    def drop_peer(self, peer: TargetName) -> None:
         """Drop the holdings of an agent that cannot be followed any more."""
         source = self.sources.get(peer)
         if source is None:
@@ -140,7 +140,9 @@
             self.rarity[digest] -= 1
         source.held.clear()
 
-    def arrived(self, digest: ChunkDigest, source: TargetName, now: Seconds) -> bool:
+    def record_arrival(
+        self, digest: ChunkDigest, source: TargetName, now: Seconds
+    ) -> bool:
         """Record a verified chunk.
 
         Returns:
@@ -153,13 +155,13 @@
             return False
         del self.missing[digest]
         self.held.add(digest)
-        self._record_seen(digest, self.me.domain, now)
+        self._record_seen(digest, self.local.domain, now)
         if source == ORIGIN:
             class_index = chunk_class(digest, self.policy.classes)
             self.origin_slots[class_index].has_taken_over = True
         return True
 
-    def failed(
+    def record_failure(
         self,
         digest: ChunkDigest,
         source: TargetName,
@@ -204,7 +206,7 @@
 
     def _source_state(self, source: TargetName) -> SourceState:
         if source == ORIGIN:
-            return self.origin
+            return self.origin_state
         return self.sources.setdefault(source, SourceState(set()))
 
     def _end_fetch(self, digest: ChunkDigest, source: TargetName) -> None:
@@ -215,7 +217,7 @@
         if not fetch_sources:
             self.in_flight.pop(digest, None)
 
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Check whether every chunk is held."""
         return not self.missing
 
@@ -291,7 +293,7 @@
         hold.
         """
         domain = self.members.get(target)
-        if domain == self.me.domain:
+        if domain == self.local.domain:
             return True
         class_index = chunk_class(digest, self.policy.classes)
         import_is_stalled = self.import_slots[class_index].count_stalls(now) > 0
@@ -299,19 +301,21 @@
             digest, import_is_stalled, True
         ):
             return False
-        in_group = domain in self.place.group
+        in_group = domain in self.role.group
         if not in_group and not self.origin_slots[class_index].count_stalls(now):
             return False
-        return self.me.target in self.import_slots[class_index].active_candidates(now)
+        return self.local.target in self.import_slots[class_index].active_candidates(
+            now
+        )
 
     def _origin_fetches(self, now: Seconds) -> Iterator[Fetch]:
-        if self.origin.not_before > now:
+        if self.origin_state.not_before > now:
             return
         for class_index, slot in enumerate(self.origin_slots):
-            if self.origin.active_fetches >= self.policy.origin_fetches:
+            if self.origin_state.active_fetches >= self.policy.origin_fetches:
                 return
             active_candidates = slot.active_candidates(now)
-            if self.me.target not in active_candidates and not slot.has_taken_over:
+            if self.local.target not in active_candidates and not slot.has_taken_over:
                 continue
             if self._fetches_from_origin(class_index):
                 continue
@@ -363,10 +367,10 @@
         return stalled and not any(
             digest in state.held
             and state.failures < MAX_SOURCE_FAILURES
-            and not (domain_only and self.members.get(target) != self.me.domain)
+            and not (domain_only and self.members.get(target) != self.local.domain)
             for target, state in self.sources.items()
         )
 
-    def wake_after(self) -> float:
+    def replan_delay(self) -> float:
         """Return the seconds after which to plan again if no event occurs."""
         return self.policy.busy_seconds
--- a/src/ridgecourse/core/finding.py
+++ b/src/ridgecourse/core/problem.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 
-class Finding(NamedTuple):
+class Problem(NamedTuple):
     """An error at one location of an input.
 
     Attributes:
@@ -19,9 +19,9 @@
         return f"{self.place}: {self.message}"
 
 
-Findings = tuple[Finding, ...]
+Problems = tuple[Problem, ...]
 
 
-def render_findings(findings: Iterable[Finding]) -> str:
+def render_problems(findings: Iterable[Problem]) -> str:
     """Return the problems as text, one per line."""
     return "\n".join(str(finding) for finding in findings)
--- a/src/ridgecourse/core/read_tree.py
+++ b/src/ridgecourse/core/read_tree.py
@@ -19,14 +19,14 @@
 """Number of gateways that read from one gateway. On an instance with 20 Mbit/s, four
 copies of a configuration of 54 KB take 90 ms. Three levels hold 85 gateways."""
 TREE_KEY = "records"
-PASSED_OVER = 2
+MAX_SKIPPED = 2
 """Number of late processes that a process skips one after the other before it stays
 with the last. Together with the root of the tree, three processes then read the store,
 of which one may be unable to reach the store and one may be frozen."""
-READER_EACH_SECONDS = 1.5
+SECONDS_PER_EXTRA_READER = 1.5
 """Seconds without an answer of the store for which one more process is skipped, so that
 one more process reads the store: all three readers may be unable to reach it."""
-LOADERS_THAT_READ = 2
+READING_LOADERS = 2
 """Number of loaders of a domain that read the store when all gateways are out of date.
 If the store rejects the gateways, they can read from these loaders; one of the two may
 be frozen."""
@@ -83,7 +83,7 @@
         if name not in avoided:
             return domain_gateways[TargetName(name)]
     readers = rendezvous_rank(f"{TREE_KEY}/loaders", {*loaders, local.name})
-    if not ranked or local.name in readers[:LOADERS_THAT_READ]:
+    if not ranked or local.name in readers[:READING_LOADERS]:
         return None
     return domain_gateways[TargetName(ranked[0])]
 
@@ -96,7 +96,7 @@
         gateways: The other known gateways.
     """
     other_gateways = sum(peer.domain == domain for peer in gateways)
-    return 1 + other_gateways + LOADERS_THAT_READ
+    return 1 + other_gateways + READING_LOADERS
 
 
 def choose_seed(host: str, seeds: Sequence[str]) -> str | None:
@@ -112,7 +112,7 @@
     return ranked[0] if ranked else None
 
 
-def may_pass_over(skipped: int, age: float, receiving: bool) -> bool:
+def may_skip(skipped: int, age: float, receiving: bool) -> bool:
     """Check whether one more late process may be skipped.
 
     Args:
@@ -125,4 +125,6 @@
     """
     if receiving:
         return not skipped
-    return skipped < PASSED_OVER + int(min(age, MAX_AGE_SECONDS) / READER_EACH_SECONDS)
+    return skipped < MAX_SKIPPED + int(
+        min(age, MAX_AGE_SECONDS) / SECONDS_PER_EXTRA_READER
+    )
--- a/src/ridgecourse/core/recent_peak.py
+++ b/src/ridgecourse/core/recent_peak.py
@@ -31,9 +31,9 @@
             duration: Observed duration, in seconds.
             now: Current time.
         """
-        if duration >= self.expect(now):
+        if duration >= self.decayed_peak(now):
             self.peak, self.observed_at = duration, now
 
-    def expect(self, now: Seconds) -> float:
+    def decayed_peak(self, now: Seconds) -> float:
         """Return the decayed peak: the duration to expect now, in seconds."""
         return self.peak * exp(-max(0.0, now - self.observed_at) / self.memory)
--- a/src/ridgecourse/core/report_rate.py
+++ b/src/ridgecourse/core/report_rate.py
@@ -40,7 +40,7 @@
 the jitter in the choice of engines."""
 
 
-def tells_more(
+def differs_from_reported(
     reported: EngineStatus | None,
     reported_at: Seconds,
     status: EngineStatus,
@@ -59,8 +59,8 @@
     """
     if reported is None:
         return True
-    expected = max(0.0, reported.unread - (now - reported_at))
-    if abs(status.unread - expected) > PREFILL_MARGIN_SECONDS:
+    expected = max(0.0, reported.prefill_backlog - (now - reported_at))
+    if abs(status.prefill_backlog - expected) > PREFILL_MARGIN_SECONDS:
         return True
     return _unchanged_values(reported) != _unchanged_values(status)
 
@@ -72,8 +72,8 @@
         status.busy,
         status.queued,
         status.active,
-        status.pace,
-        status.link,
+        status.slowdown,
+        status.link_share,
         status.started,
     )
 
--- a/src/ridgecourse/core/retry.py
+++ b/src/ridgecourse/core/retry.py
@@ -5,7 +5,7 @@
 
 from random import Random
 
-SHORTEST_COME_BACK_SECONDS = 0.25
+MIN_RETRY_DELAY_SECONDS = 0.25
 """Shortest time after which a refused client may retry: about the time in which an
 engine frees a slot or the list of targets is read again."""
 EXCESS_FACTOR = 5.0
@@ -21,7 +21,9 @@
 the same time."""
 
 
-def come_back_seconds(excess: float | None, remaining: float, random: Random) -> float:
+def retry_delay_seconds(
+    excess: float | None, remaining: float, random: Random
+) -> float:
     """Return the seconds after which a refused client may retry.
 
     Args:
@@ -33,7 +35,7 @@
     longest = remaining * TIMEOUT_SHARE
     delay = longest if excess is None else EXCESS_FACTOR * excess
     jitter = 1.0 - JITTER_SHARE * random.random()
-    return max(SHORTEST_COME_BACK_SECONDS, min(longest, delay) * jitter)
+    return max(MIN_RETRY_DELAY_SECONDS, min(longest, delay) * jitter)
 
 
 class RetryBudget:
@@ -54,12 +56,12 @@
         """Record a new request, which adds to the budget."""
         self.balance = min(self.ceiling, self.balance + self.ratio)
 
-    def limit(self, ceiling: float) -> None:
+    def set_ceiling(self, ceiling: float) -> None:
         """Set the maximum number of retries that may accumulate."""
         self.ceiling = ceiling
         self.balance = min(self.balance, ceiling)
 
-    def take_retry(self) -> bool:
+    def spend_retry(self) -> bool:
         """Spend one retry; return whether the budget allowed one."""
         if self.balance < 1.0:
             return False
--- a/src/ridgecourse/core/routes.py
+++ b/src/ridgecourse/core/routes.py
@@ -128,7 +128,7 @@
     engine: EngineModel | None
 
 
-class OriginPlace(Struct, frozen=True):
+class OriginLocation(Struct, frozen=True):
     """The origin from which weights are fetched.
 
     Attributes:
@@ -142,7 +142,7 @@
     bytes_per_s: float
 
 
-class CallerLimits(Struct, frozen=True):
+class ClientLimits(Struct, frozen=True):
     """Limits on the size and duration of clients' requests.
 
     Attributes:
@@ -186,8 +186,8 @@
     version: int
     routes: Mapping[str, Sequence[Route]]
     services: Mapping[ServiceName, Service]
-    origin: OriginPlace | None
-    limits: CallerLimits
+    origin: OriginLocation | None
+    limits: ClientLimits
     accounts: Mapping[str, Account]
     keyed: bool
 
--- a/src/ridgecourse/core/routing.py
+++ b/src/ridgecourse/core/routing.py
@@ -88,22 +88,22 @@
         latency = self.latency * 0.5 ** (age / LATENCY_DECAY_SECONDS)
         return latency * (batches + 0.1 * load / self.slots)
 
-    def ejected(self, now: Seconds) -> bool:
+    def is_ejected(self, now: Seconds) -> bool:
         """Check whether the target is ejected because of failures."""
         return now < self.ejected_until
 
-    def report(self, in_flight: int, now: Seconds) -> None:
+    def record_report(self, in_flight: int, now: Seconds) -> None:
         """Record the agent's count of requests, waiting requests included."""
         self.reported = in_flight
         self.outstanding_at_report = self.outstanding
         self.reported_at = now
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record a completed request."""
         self.failures = 0
         self.ejections = 0
 
-    def observe(self, seconds: float, now: Seconds, weight: float) -> None:
+    def record_latency(self, seconds: float, now: Seconds, weight: float) -> None:
         """Record the duration of one unit of work.
 
         Args:
@@ -117,7 +117,7 @@
         self.latency += (1.0 if first else weight) * (seconds - self.latency)
         self.observed_at = now
 
-    def failed(self, now: Seconds) -> None:
+    def record_failure(self, now: Seconds) -> None:
         """Record a failure caused by the target."""
         self.failures += 1
         if self.failures >= EJECT_FAILURES:
@@ -231,7 +231,7 @@
 
 def without_ejected(loads: Sequence[TargetLoad], now: Seconds) -> list[TargetLoad]:
     """Return the targets that are not ejected, but at least half of all targets."""
-    usable = [load for load in loads if not load.ejected(now)]
+    usable = [load for load in loads if not load.is_ejected(now)]
     if len(usable) >= len(loads) * (1 - MAX_EJECTED_SHARE):
         return usable
     return sorted(loads, key=lambda load: load.ejected_until)[: -(-len(loads) // 2)]
--- a/src/ridgecourse/core/site.py
+++ b/src/ridgecourse/core/site.py
@@ -83,7 +83,7 @@
     upload_bytes_per_s: float
     first_start: bool = False
 
-    def adopt(self, new: "Site") -> tuple[list[str], list[str]]:
+    def apply_reloadable(self, new: "Site") -> tuple[list[str], list[str]]:
         """Apply the settings that may change while the process runs.
 
         Returns:
--- a/src/ridgecourse/core/supersession.py
+++ b/src/ridgecourse/core/supersession.py
@@ -8,13 +8,13 @@
 
 from ridgecourse.core.ids import Seconds
 
-LATE_START_SECONDS = 0.4
+LAST_SWITCH_LEAD_SECONDS = 0.4
 """Lead, in seconds, of the domain's last engine switch before the bound. A request that
 starts on the old weights after the bound would not be allowed."""
-START_SECONDS = 0.5
+STAGING_SECONDS = 0.5
 """Seconds from the last chunk of a version until the engine is ordered to load it;
 staging and verification take this long."""
-APART_SECONDS = 2.5
+MIN_BOUND_GAP_SECONDS = 2.5
 """Smallest gap, in seconds, between the bounds of two versions at which the engines of
 the early half still finish the first version. With a smaller gap, these engines would
 be late for both versions."""
@@ -25,7 +25,7 @@
 version. Most chunks of the first version are available already, while those of the
 newer version may be delayed if its origin fails."""
 
-AWAY_SECONDS = 1.0
+RESUME_SECONDS = 1.0
 """Seconds from interrupting the wait with a complete version until the loader resumes
 it. The loader reads back the staged files before it fetches the newer version, and
 polls which version takes precedence within half a second."""
@@ -65,7 +65,7 @@
     return idle_if_finished <= idle_if_switched + FINISH_BIAS_SECONDS
 
 
-def is_of_use(ready_after: float, bound: Seconds | None, now: Seconds) -> bool:
+def is_usable(ready_after: float, bound: Seconds | None, now: Seconds) -> bool:
     """Check whether requests may still start on a version once it is available.
 
     Args:
@@ -74,10 +74,10 @@
             its bound is unknown.
         now: The current time.
     """
-    return bound is None or now + ready_after + START_SECONDS < bound
+    return bound is None or now + ready_after + STAGING_SECONDS < bound
 
 
-def goes_on(
+def should_continue(
     current: TransferPlan, newer: TransferPlan, now: Seconds, early: bool
 ) -> bool:
     """Check whether a transfer continues although a newer version is named.
@@ -90,21 +90,21 @@
         early: Whether the engine belongs to the half that switches weights first; this
             half serves the first version until the second one is available.
     """
-    if not is_of_use(current.ready_after - START_SECONDS, newer.bound, now):
+    if not is_usable(current.ready_after - STAGING_SECONDS, newer.bound, now):
         return False
-    if current.ready_after < START_SECONDS + NEARLY_COMPLETE_SECONDS:
+    if current.ready_after < STAGING_SECONDS + NEARLY_COMPLETE_SECONDS:
         return True
-    if newer.bound - current.bound < APART_SECONDS:
+    if newer.bound - current.bound < MIN_BOUND_GAP_SECONDS:
         return should_finish(current, newer, now)
     return early
 
 
-def comes_first(
+def takes_precedence(
     current: TransferPlan,
     newer: TransferPlan,
     now: Seconds,
     early: bool,
-    newer_here: bool,
+    newer_available: bool,
 ) -> bool:
     """Check whether a version whose transfer has started precedes a newer one.
 
@@ -112,16 +112,16 @@
         current: The version whose transfer has started.
         newer: The newest version.
         now: The current time.
-        early: As for ``goes_on``.
+        early: As for ``should_continue``.
         newer_available: Whether the newest version is available; see
-            ``counts_as_here``.
+            ``counts_as_available``.
     """
-    if newer_here:
-        return goes_on(current, newer, now, early)
-    return is_of_use(current.ready_after - START_SECONDS, newer.bound, now)
+    if newer_available:
+        return should_continue(current, newer, now, early)
+    return is_usable(current.ready_after - STAGING_SECONDS, newer.bound, now)
 
 
-def counts_as_here(
+def counts_as_available(
     current: TransferPlan, newer: TransferPlan, share: float | None
 ) -> bool:
     """Return whether a newer version counts as available.
@@ -142,14 +142,14 @@
     """
     if share is None:
         return False
-    return share == 1.0 or newer.bound - current.bound >= APART_SECONDS
+    return share == 1.0 or newer.bound - current.bound >= MIN_BOUND_GAP_SECONDS
 
 
-def start_wait(
+def switch_wait(
     bound: Seconds | None,
     newer_bound: Seconds | None,
     now: Seconds,
-    whole_at: Seconds,
+    complete_at: Seconds,
     place: float,
 ) -> float:
     """Return the seconds until an engine switches to a completely staged version.
@@ -176,13 +176,13 @@
     """
     if bound is None:
         return 0.0
-    if newer_bound is not None and newer_bound - bound < APART_SECONDS:
+    if newer_bound is not None and newer_bound - bound < MIN_BOUND_GAP_SECONDS:
         return max(0.0, bound - now)
-    last_switch = bound - LATE_START_SECONDS
-    return max(0.0, whole_at + place * max(0.0, last_switch - whole_at) - now)
+    last_switch = bound - LAST_SWITCH_LEAD_SECONDS
+    return max(0.0, complete_at + place * max(0.0, last_switch - complete_at) - now)
 
 
-def leaves_time(wait: float) -> bool:
+def allows_newer_fetch(wait: float) -> bool:
     """Check whether a newer version is fetched while a complete one awaits its turn.
 
     In one case a loader started the newer fetch 0.02 s before the turn and resumed the
@@ -192,4 +192,4 @@
     Args:
         wait: Seconds until the turn.
     """
-    return wait >= AWAY_SECONDS
+    return wait >= RESUME_SECONDS
--- a/src/ridgecourse/core/targets.py
+++ b/src/ridgecourse/core/target_list.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from ridgecourse.core.engine_life import EngineLife, is_before
+from ridgecourse.core.engine_incarnation import EngineIncarnation, starts_before
 from ridgecourse.core.ids import (
     DomainName,
     EngineStart,
@@ -72,9 +72,9 @@
     started: EngineStart | None = None
 
     @property
-    def life(self) -> EngineLife:
+    def incarnation(self) -> EngineIncarnation:
         """Incarnation of the target that this entry describes."""
-        return EngineLife(self.target, self.started)
+        return EngineIncarnation(self.target, self.started)
 
     def holds_model(self, layers: int) -> bool:
         """Check whether the target has loaded all layers of a model.
@@ -144,9 +144,9 @@
         self.targets: dict[TargetId, ListedTarget] = {}
         self.removed: dict[TargetId, Seconds] = {}
         self.kept_until = Seconds(0.0)
-        self.heard: dict[TargetId, TargetHistory] = {}
+        self.histories: dict[TargetId, TargetHistory] = {}
 
-    def outage_ended(self, now: Seconds) -> None:
+    def record_outage_end(self, now: Seconds) -> None:
         """Record that the store can be read again after an outage."""
         self.keep_removed(Seconds(now + RETURN_SECONDS))
 
@@ -166,8 +166,8 @@
             now: Current time.
         """
         for record in records:
-            history = self.heard.pop(record.target, None) or TargetHistory()
-            self.heard[record.target] = history
+            history = self.histories.pop(record.target, None) or TargetHistory()
+            self.histories[record.target] = history
             if record.rejected:
                 self._apply_rejection(record, history)
             elif record.entry is None:
@@ -194,9 +194,9 @@
     def _apply_entry(
         self, record: TargetRecord, entry: ListedTarget, history: TargetHistory
     ) -> None:
-        if is_before(entry.started, history.started):
+        if starts_before(entry.started, history.started):
             return
-        if is_before(history.started, entry.started):
+        if starts_before(history.started, entry.started):
             # The listed entry belongs to an earlier incarnation, which has ended.
             history.listed_offset = -1
             self.drop(record.target)
@@ -209,9 +209,9 @@
 
     def _forget_unlisted(self) -> None:
         """Drop the histories of the unlisted targets, except the most recent ones."""
-        unlisted = [target for target in self.heard if target not in self.targets]
+        unlisted = [target for target in self.histories if target not in self.targets]
         for target in unlisted[:-MAX_UNLISTED]:
-            del self.heard[target]
+            del self.histories[target]
 
     def replace(self, records: Iterable[TargetRecord], now: Seconds) -> None:
         """Replace the whole list; targets without a record are removed.
--- a/src/ridgecourse/core/target_states.py
+++ b/src/ridgecourse/core/target_states.py
@@ -6,22 +6,22 @@
 
 from collections.abc import Container
 
-from ridgecourse.core.engine_life import EngineLife
+from ridgecourse.core.engine_incarnation import EngineIncarnation
 from ridgecourse.core.ids import Seconds, TargetId
-from ridgecourse.core.latest_lives import LatestIncarnations
+from ridgecourse.core.latest_incarnations import LatestIncarnations
 from ridgecourse.core.recent_peak import RecentPeak
 
 FAILURES_IN_A_ROW = 2
 FIRST_EJECTION_SECONDS = 1.0
 LONGEST_EJECTION_SECONDS = 8.0
-WAY_MEMORY_SECONDS = 8.0
+DELAY_MEMORY_SECONDS = 8.0
 """Decay time of the network delays to a target: a link whose bandwidth has dropped
 stays slow for seconds."""
 NEGLIGIBLE_DELAY_SECONDS = 0.005
 """A network delay that has decayed to less than this is dropped."""
 
 
-class TargetState:
+class TargetHealth:
     """Health of one incarnation of a target as this gateway observes it.
 
     Attributes:
@@ -32,17 +32,17 @@
     """
 
     def __init__(self, network_delays: RecentPeak) -> None:
-        self.ways = network_delays
+        self.network_delays = network_delays
         self.failures = 0
         self.ejections = 0
         self.not_before = Seconds(0.0)
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record a request that the target served."""
         self.failures = 0
         self.ejections = 0
 
-    def failed(self, now: Seconds) -> bool:
+    def record_failure(self, now: Seconds) -> bool:
         """Record a failure; return whether the failure ejects the target."""
         self.failures += 1
         if self.failures < FAILURES_IN_A_ROW:
@@ -54,7 +54,7 @@
         return True
 
 
-class TargetStates(LatestIncarnations[TargetState]):
+class TargetHealthTable(LatestIncarnations[TargetHealth]):
     """Health of the latest incarnation of each target as this gateway observes it.
 
     Attributes:
@@ -63,11 +63,13 @@
 
     def __init__(self) -> None:
         super().__init__(self._make)
-        self.ways: dict[TargetId, RecentPeak] = {}
+        self.network_delays: dict[TargetId, RecentPeak] = {}
 
-    def _make(self, incarnation: EngineLife) -> TargetState:
-        new_peak = RecentPeak(WAY_MEMORY_SECONDS)
-        return TargetState(self.ways.setdefault(incarnation.target, new_peak))
+    def _make(self, incarnation: EngineIncarnation) -> TargetHealth:
+        new_peak = RecentPeak(DELAY_MEMORY_SECONDS)
+        return TargetHealth(
+            self.network_delays.setdefault(incarnation.target, new_peak)
+        )
 
     def retain(self, listed: Container[TargetId], now: Seconds) -> None:
         """Drop the states of targets that are not listed.
@@ -77,6 +79,8 @@
         delays, requests would be sent to it as if the link were fast.
         """
         self.forget_unlisted(listed)
-        for target in [target for target in self.ways if target not in self.lives]:
-            if self.ways[target].expect(now) < NEGLIGIBLE_DELAY_SECONDS:
-                del self.ways[target]
+        for target in [
+            target for target in self.network_delays if target not in self.incarnations
+        ]:
+            if self.network_delays[target].decayed_peak(now) < NEGLIGIBLE_DELAY_SECONDS:
+                del self.network_delays[target]
--- a/src/ridgecourse/core/weights.py
+++ b/src/ridgecourse/core/weights.py
@@ -87,7 +87,7 @@
         self.bound = bound
         self.notices: list[VersionNotice] = []
 
-    def name(
+    def record_version(
         self, version: WeightsVersion, now: Seconds, named_at: Seconds | None
     ) -> bool:
         """Record a named version.
@@ -112,7 +112,7 @@
         self.notices.append(notice)
         return True
 
-    def date(self, version: WeightsVersion, named_at: Seconds) -> bool:
+    def record_naming_time(self, version: WeightsVersion, named_at: Seconds) -> bool:
         """Record the earliest naming time of a version, as another process reports it.
 
         The earliest of several reported times counts. A time that this process observed
@@ -172,7 +172,7 @@
         """The version that is to be served."""
         return self.notices[-1].version if self.notices else FIRST_VERSION
 
-    def required(self, now: Seconds) -> WeightsVersion:
+    def required_version(self, now: Seconds) -> WeightsVersion:
         """Return the oldest version on which a request may start now."""
         due = [
             notice.version
@@ -181,13 +181,13 @@
         ]
         return max(due, default=FIRST_VERSION)
 
-    def begin_by(self, version: WeightsVersion) -> Seconds | None:
+    def start_deadline(self, version: WeightsVersion) -> Seconds | None:
         """Return until when requests may start on a version; None for no limit."""
         return self._earliest_bound(
             notice for notice in self.notices if notice.version > version
         )
 
-    def dated_bound(self, version: WeightsVersion) -> Seconds | None:
+    def known_start_deadline(self, version: WeightsVersion) -> Seconds | None:
         """Return the start deadline from newer versions with a known naming time only.
 
         None if there is no such version.
--- a/src/ridgecourse/ctl/commands.py
+++ b/src/ridgecourse/ctl/commands.py
@@ -11,8 +11,8 @@
 
 from returns.result import Failure, Result, Success
 
-from ridgecourse.core.finding import Findings, render_findings
 from ridgecourse.core.manifest import parse_manifest, root_digest
+from ridgecourse.core.problem import Problems, render_problems
 from ridgecourse.ctl.client import AdminClient, CallFailure
 from ridgecourse.ctl.output import Output
 from ridgecourse.ctl.publish import make_manifest, total_bytes, write_manifest
@@ -184,14 +184,14 @@
         loaded = self._load_manifest(arguments)
         if isinstance(loaded, Failure):
             self.output.error(
-                render_findings(loaded.failure()), "nothing was published"
+                render_problems(loaded.failure()), "nothing was published"
             )
             return EXIT_USAGE
         data = loaded.unwrap()
         parsed = parse_manifest(data)
         if isinstance(parsed, Failure):
             self.output.error(
-                render_findings(parsed.failure()), "nothing was published"
+                render_problems(parsed.failure()), "nothing was published"
             )
             return EXIT_USAGE
         default_origin_path = f"{arguments.model}-{arguments.model_version}"
@@ -206,7 +206,7 @@
         )
         return self._submit_change("PublishVersion", request, arguments)
 
-    def _load_manifest(self, arguments: Namespace) -> Result[bytes, Findings]:
+    def _load_manifest(self, arguments: Namespace) -> Result[bytes, Problems]:
         if arguments.manifest is not None:
             return Success(arguments.manifest.read_bytes())
         directory = arguments.directory
--- a/src/ridgecourse/ctl/publish.py
+++ b/src/ridgecourse/ctl/publish.py
@@ -5,15 +5,15 @@
 
 from returns.result import Failure, Result, Success
 
-from ridgecourse.core.finding import Finding, Findings
 from ridgecourse.core.ids import ChunkDigest
 from ridgecourse.core.manifest import (
     FileEntry,
     Manifest,
     chunk_digest,
     encode_manifest,
-    find_faults,
+    find_problems,
 )
+from ridgecourse.core.problem import Problem, Problems
 
 MANIFEST_NAME = "manifest.json"
 DEFAULT_CHUNK_BYTES = 1024 * 1024
@@ -24,7 +24,7 @@
 
 def make_manifest(
     directory: Path, chunk_bytes: int, progress: ProgressCallback
-) -> Result[Manifest, Findings]:
+) -> Result[Manifest, Problems]:
     """Read all files of a version and return its manifest.
 
     Args:
@@ -36,12 +36,12 @@
         The manifest, or the problems found in the directory.
     """
     if not directory.is_dir():
-        return Failure((Finding(str(directory), "is no directory"),))
+        return Failure((Problem(str(directory), "is no directory"),))
     paths = [path for path in sorted(directory.rglob("*")) if is_weight_file(path)]
     entries = [make_entry(directory, path, chunk_bytes, progress) for path in paths]
     entries.sort(key=lambda entry: entry.path)
     manifest = Manifest(chunk_bytes, tuple(entries))
-    findings = tuple(find_faults(manifest))
+    findings = tuple(find_problems(manifest))
     return Failure(findings) if findings else Success(manifest)
 
 
--- a/src/ridgecourse/entry/admin.py
+++ b/src/ridgecourse/entry/admin.py
@@ -44,9 +44,9 @@
     VersionName,
 )
 from ridgecourse.core.manifest import is_digest
-from ridgecourse.entry.changes import DEFAULT_DEADLINE_SECONDS, ChangeWriter
+from ridgecourse.entry.change_writer import DEFAULT_DEADLINE_SECONDS, ChangeWriter
 from ridgecourse.entry.context import EntryContext
-from ridgecourse.entry.reports import ReportCollector
+from ridgecourse.entry.report_collector import ReportCollector
 from ridgecourse.entry.settings import OperatorSettings, Role
 from ridgecourse.net.address import parse_address
 from ridgecourse.net.auth import bearer_token, token_digest
--- a/src/ridgecourse/entry/links.py
+++ b/src/ridgecourse/entry/agent_links.py
@@ -132,7 +132,8 @@
                 yield target
                 continue
             live_entries = {
-                instance.process for instance in self.instances.entries(target.domain)
+                instance.process
+                for instance in self.instances.live_entries(target.domain)
             }
             ranked = rendezvous_rank(target.target, live_entries | {local_process})
             if local_process in ranked[: self.context.settings.agent_links]:
@@ -191,8 +192,8 @@
         try:
             for message in channel.messages(AgentMessage):
                 self._handle_message(channel, view, message)
-                self.received_bytes += channel.received
-                channel.received = 0
+                self.received_bytes += channel.received_bytes
+                channel.received_bytes = 0
         finally:
             push_thread.kill()
 
@@ -202,10 +203,12 @@
         try:
             while True:
                 if config.offset > offset:
-                    channel.send(config.above(offset, self.context.events.clock))
+                    channel.send(
+                        config.updates_since(offset, self.context.events.clock)
+                    )
                     offset = config.offset
-                    self.sent_bytes += channel.sent
-                    channel.sent = 0
+                    self.sent_bytes += channel.sent_bytes
+                    channel.sent_bytes = 0
                 config.changed.wait()
         except ChannelClosed:
             channel.close()
@@ -217,12 +220,12 @@
         if isinstance(message, AgentReport):
             self._apply_report(view, message)
             is_behind = message.offset > config.offset
-            if is_behind and (self.follower.log_lost or not config.known):
+            if is_behind and (self.follower.log_lost or not config.is_known):
                 channel.send(WantRecords(config.offset))
         elif isinstance(message, (ConfigRecords, ConfigFull)):
             self.follower.apply(message, view.load.target)
         elif isinstance(message, WantRecords):
-            channel.send(config.above(message.above, self.context.events.clock))
+            channel.send(config.updates_since(message.above, self.context.events.clock))
 
     def _apply_report(self, view: AgentView, report: AgentReport) -> None:
         now = boottime()
@@ -230,4 +233,4 @@
         view.report = report
         view.reported_at = now
         view.load.slots = report.slots
-        view.load.report(report.in_flight, now)
+        view.load.record_report(report.in_flight, now)
--- a/src/ridgecourse/entry/attempt.py
+++ b/src/ridgecourse/entry/attempt.py
@@ -14,9 +14,9 @@
 from ridgecourse.core.config_objects import Target
 from ridgecourse.core.ids import Incarnation, RequestId
 from ridgecourse.core.outcome import Outcome, Reason
+from ridgecourse.entry.agent_links import AgentView
 from ridgecourse.entry.call import Call
 from ridgecourse.entry.context import EntryContext
-from ridgecourse.entry.links import AgentView
 from ridgecourse.net.auth import AUTH_HEADER, sign_request
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.http_client import (
@@ -155,7 +155,7 @@
     ) -> AttemptResult:
         reported_load = response.headers.get(LOAD_HEADER, "")
         if reported_load.isdecimal():
-            view.load.report(int(reported_load), view.load.reported_at)
+            view.load.record_report(int(reported_load), view.load.reported_at)
         outcome = response.headers.get(OUTCOME_HEADER, "")
         reason = parse_reason(response.headers.get(REASON_HEADER, ""))
         if outcome == Outcome.NOT_RUN.value:
--- a/src/ridgecourse/entry/config_follower.py
+++ b/src/ridgecourse/entry/config_follower.py
@@ -18,7 +18,7 @@
 from ridgecourse.native.log import LogUnavailable, Stream
 from ridgecourse.net.auth import AUTH_HEADER, sign_request
 from ridgecourse.net.clock import boottime
-from ridgecourse.net.config_store import Folded
+from ridgecourse.net.config_store import FoldedChange
 from ridgecourse.net.events import EventKind
 from ridgecourse.net.http_client import ExchangeFailed, NoConnection
 from ridgecourse.net.http_server import HttpReply, HttpRequest
@@ -97,7 +97,7 @@
         self._report_applied(self.config.fold(batch.first, batch.records))
 
     def _restore_checkpoint(self, earliest: Offset) -> None:
-        encoded = self.context.log.last(Stream.CHECKPOINTS)
+        encoded = self.context.log.read_newest(Stream.CHECKPOINTS)
         if encoded is None:
             raise LogUnavailable(
                 "log records were removed by retention and the log has no checkpoint"
@@ -111,7 +111,7 @@
                 "the newest checkpoint ends before the oldest record of the log"
             )
 
-    def _report_applied(self, applied: list[Folded]) -> None:
+    def _report_applied(self, applied: list[FoldedChange]) -> None:
         context = self.context
         for record, outcome in applied:
             context.events.emit(
@@ -168,7 +168,7 @@
     def apply(self, message: ConfigRecords | ConfigFull, sender: str) -> None:
         """Apply configuration from another process if it is newer than the own."""
         self.context.events.merge(message.clock)
-        if self.config.take(message):
+        if self.config.apply(message):
             self.context.events.emit(
                 EventKind.CONFIG_FROM_PEER, offset=self.config.offset, sender=sender
             )
@@ -184,9 +184,9 @@
         offset = request.path.removeprefix(f"{CONFIG_PATH}/")
         if not offset.isdecimal():
             return HttpReply(400)
-        if not self.config.known or int(offset) > self.config.offset:
+        if not self.config.is_known or int(offset) > self.config.offset:
             return HttpReply(404)
-        message = self.config.above(int(offset), self.context.events.clock)
+        message = self.config.updates_since(int(offset), self.context.events.clock)
         return HttpReply(200, encode_message(message))
 
     def _write_due_checkpoints(self) -> None:
@@ -214,7 +214,7 @@
     def write_checkpoint(self) -> None:
         """Append a checkpoint, and a notice of it to the configuration stream."""
         snapshot = self.config.state.snapshot()
-        if self.log_lost or not self.config.known:
+        if self.log_lost or not self.config.is_known:
             return
         try:
             checkpoint_offset = self.context.log.append(
--- a/src/ridgecourse/entry/dispatch.py
+++ b/src/ridgecourse/entry/dispatch.py
@@ -22,6 +22,7 @@
 from ridgecourse.core.outcome import Outcome, Reason
 from ridgecourse.core.retry import RetryBudget
 from ridgecourse.core.routing import REQUEST_WEIGHT, TOKEN_WEIGHT
+from ridgecourse.entry.agent_links import AgentLinks, AgentView
 from ridgecourse.entry.attempt import (
     AttemptResult,
     AttemptSender,
@@ -31,11 +32,10 @@
     StreamStarted,
 )
 from ridgecourse.entry.call import Call, parse_call
-from ridgecourse.entry.chooser import Candidate, TargetChooser
-from ridgecourse.entry.claims import ClaimResult, ClaimWriter
+from ridgecourse.entry.claim_writer import ClaimResult, ClaimWriter
 from ridgecourse.entry.context import EntryContext
-from ridgecourse.entry.links import AgentLinks, AgentView
 from ridgecourse.entry.replies import DEFAULT_RETRY_AFTER, ReplyBuilder
+from ridgecourse.entry.target_chooser import Candidate, TargetChooser
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.events import EventKind
 from ridgecourse.net.http_client import ExchangeFailed, read_lines
@@ -179,7 +179,7 @@
             and last_result.reason is Reason.BAD_REQUEST
         ):
             return False
-        if boottime() >= call.deadline or not self.budget.take_retry():
+        if boottime() >= call.deadline or not self.budget.spend_retry():
             return False
         self.context.metrics.count(Metric.RETRIES)
         self.context.events.emit(EventKind.REQUEST_RETRIED, request=call.request_id)
@@ -211,8 +211,8 @@
         view.load.outstanding -= 1
         now = boottime()
         if isinstance(result, CompleteAnswer):
-            view.load.succeeded()
-            view.load.observe(now - started_at, now, REQUEST_WEIGHT)
+            view.load.record_success()
+            view.load.record_latency(now - started_at, now, REQUEST_WEIGHT)
         elif isinstance(result, OutcomeUnknown) or result.target_failed:
             self._record_target_failure(view, target, now)
         elif result.reason is Reason.WRONG_INCARNATION:
@@ -222,8 +222,8 @@
     def _record_target_failure(
         self, view: AgentView, target: Target, now: Seconds
     ) -> None:
-        view.load.failed(now)
-        if view.load.ejected(now):
+        view.load.record_failure(now)
+        if view.load.is_ejected(now):
             self.context.events.emit(EventKind.TARGET_EJECTED, target=target.target)
 
     # Streams.
@@ -287,7 +287,7 @@
                     expected += 1
                     now = boottime()
                     if last_event_at is not None:
-                        load.observe(now - last_event_at, now, TOKEN_WEIGHT)
+                        load.record_latency(now - last_event_at, now, TOKEN_WEIGHT)
                     last_event_at = now
                     yield event
         except (ExchangeFailed, DecodeError):
@@ -295,7 +295,7 @@
         finally:
             load.outstanding -= 1
             if completed:
-                load.succeeded()
+                load.record_success()
             else:
                 self._record_target_failure(
                     candidate.view, candidate.target, boottime()
--- a/src/ridgecourse/entry/entry.py
+++ b/src/ridgecourse/entry/entry.py
@@ -8,14 +8,14 @@
 from msgspec.json import encode
 
 from ridgecourse.entry.admin import AdminService
+from ridgecourse.entry.agent_links import AgentLinks
 from ridgecourse.entry.call import CALL_PREFIX
-from ridgecourse.entry.changes import ChangeWriter
-from ridgecourse.entry.claims import ClaimWriter
+from ridgecourse.entry.change_writer import ChangeWriter
+from ridgecourse.entry.claim_writer import ClaimWriter
 from ridgecourse.entry.config_follower import CONFIG_PATH, ConfigFollower
 from ridgecourse.entry.context import EntryContext
 from ridgecourse.entry.dispatch import Dispatcher
-from ridgecourse.entry.links import AgentLinks
-from ridgecourse.entry.reports import REPORTS_PATH, ReportCollector
+from ridgecourse.entry.report_collector import REPORTS_PATH, ReportCollector
 from ridgecourse.entry.settings import EntrySettings
 from ridgecourse.entry.strict_json import StrictJsonMiddleware
 from ridgecourse.net.address import parse_address
@@ -73,7 +73,7 @@
 
         The entry is ready once the configuration is known, until it stops.
         """
-        return self.context.config.known and not self.context.stopping
+        return self.context.config.is_known and not self.context.stopping
 
     def serve_health(self, request: HttpRequest) -> HttpReply:
         """Answer with 200 while the process runs."""
@@ -97,7 +97,7 @@
             "control_sent": self.links.sent_bytes,
             "control_received": self.links.received_bytes,
             "log_exchanges": self.context.log.exchanges,
-            "log_moved": self.context.log.moved,
+            "log_moved": self.context.log.bytes_transferred,
             "claims": self.claim_writer.claim_count,
             "claim_appends": self.claim_writer.append_count,
             "usage": process_usage(),
--- a/src/ridgecourse/entry/reports.py
+++ b/src/ridgecourse/entry/report_collector.py
@@ -10,8 +10,8 @@
 
 from ridgecourse.core.config_objects import Target
 from ridgecourse.core.ids import FleetName, ServiceName, TargetName
+from ridgecourse.entry.agent_links import AgentLinks
 from ridgecourse.entry.context import EntryContext
-from ridgecourse.entry.links import AgentLinks
 from ridgecourse.net.auth import AUTH_HEADER, sign_request
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.http_client import ExchangeFailed, NoConnection
--- a/src/ridgecourse/entry/chooser.py
+++ b/src/ridgecourse/entry/target_chooser.py
@@ -12,9 +12,9 @@
 from ridgecourse.core.ids import DomainName, TargetName
 from ridgecourse.core.rendezvous import rendezvous_rank
 from ridgecourse.core.routing import Router, TargetLoad
+from ridgecourse.entry.agent_links import AgentLinks, AgentView
 from ridgecourse.entry.call import Call
 from ridgecourse.entry.context import EntryContext
-from ridgecourse.entry.links import AgentLinks, AgentView
 from ridgecourse.net.clock import boottime
 
 REMOTE_TARGETS_PER_DOMAIN = 8
--- a/src/ridgecourse/exchange/catalogue.py
+++ b/src/ridgecourse/exchange/catalogue.py
@@ -12,9 +12,9 @@
 import eventlet
 from returns.result import Success
 
+from ridgecourse.core.byte_counters import PayloadKind
 from ridgecourse.core.hubs import Peer
 from ridgecourse.core.ids import ModelName, WeightsVersion
-from ridgecourse.core.links import Cargo
 from ridgecourse.core.manifest import (
     Manifest,
     encode_manifest,
@@ -83,9 +83,9 @@
     ) -> None:
         self.context = context
         self.origin = origin
-        self.asked = asked
+        self.on_request = asked
         self.holdings: dict[VersionKey, Holding] = {}
-        self.left: set[VersionKey] = set()
+        self.skipped: set[VersionKey] = set()
 
     def add_routes(self, router: HttpRouter) -> None:
         """Register the manifest handler on a router."""
@@ -98,9 +98,9 @@
             return HttpReply(400)
         key = (ModelName(model), WeightsVersion(int(number)))
         holding = self.holdings.get(key)
-        if self.asked is not None and (holding is None or not holding.complete):
-            self.asked(key)
-        if key in self.left:
+        if self.on_request is not None and (holding is None or not holding.complete):
+            self.on_request(key)
+        if key in self.skipped:
             return HttpReply(SKIPPED_STATUS)
         if holding is None:
             return HttpReply(404)
@@ -144,12 +144,12 @@
         origin_after = boottime() + peers_timeout
         while peers and boottime() < origin_after:
             for peer in peers:
-                if holding := self.ask(peer, key):
+                if holding := self.fetch_manifest(peer, key):
                     return holding
             eventlet.sleep(POLL_SECONDS)
         return self._fetch_from_origin(key, address)
 
-    def ask(self, peer: Peer, key: VersionKey) -> Holding | None:
+    def fetch_manifest(self, peer: Peer, key: VersionKey) -> Holding | None:
         """Fetch a manifest from another process.
 
         The request also makes that process fetch the version if it can.
@@ -160,7 +160,7 @@
         answer = self._request_from_peer(peer, key)
         if answer is None or answer.status != 200:
             return None
-        self.context.count_received(Cargo.MANIFEST, len(answer.data), peer.domain)
+        self.context.count_received(PayloadKind.MANIFEST, len(answer.data), peer.domain)
         parsed = parse_manifest(answer.data)
         return (
             self._add_holding(key, parsed.unwrap())
@@ -179,7 +179,7 @@
             )
         except (NoConnection, ExchangeFailed):
             # The peer may be starting or gone; the caller asks other peers.
-            self.context.events.figures.count("manifest_unanswered")
+            self.context.events.metrics.count("manifest_unanswered")
             return None
         return PeerAnswer(status, data, headers)
 
@@ -192,7 +192,9 @@
                 EventKind.MANIFEST_UNAVAILABLE, version=str(key[1]), error=str(error)
             )
             return None
-        self.context.count_drawn(Cargo.MANIFEST, len(holding.manifest_bytes))
+        self.context.count_received_from_origin(
+            PayloadKind.MANIFEST, len(holding.manifest_bytes)
+        )
         return holding
 
     def _add_holding(self, key: VersionKey, manifest: Manifest) -> Holding:
@@ -219,7 +221,7 @@
         """Remove the versions that are older than the retained ones; return them."""
         known = sorted(key for key in self.holdings if key[0] == model)
         dropped = known[:-RETAINED_VERSIONS]
-        self.left.difference_update(dropped)
+        self.skipped.difference_update(dropped)
         return [self.holdings.pop(key) for key in dropped]
 
     def retain_chunks(self) -> None:
--- a/src/ridgecourse/exchange/context.py
+++ b/src/ridgecourse/exchange/context.py
@@ -5,9 +5,9 @@
 
 from msgspec import Struct
 
-from ridgecourse.core.fetches import Member, PlanPolicy
+from ridgecourse.core.byte_counters import LinkKind, PayloadKind, byte_counter
+from ridgecourse.core.fetch_types import Member, PlanPolicy
 from ridgecourse.core.ids import ChunkDigest, DomainName, RegionName
-from ridgecourse.core.links import Cargo, Link, byte_counter
 from ridgecourse.core.manifest import chunk_digest
 from ridgecourse.exchange.store import ChunkStore
 from ridgecourse.net.events import EventStream
@@ -75,7 +75,7 @@
 
     def __init__(
         self,
-        me: Member,
+        local: Member,
         events: EventStream,
         metrics: Metrics,
         http: HttpClient,
@@ -90,7 +90,7 @@
         digest: Callable[[bytes], ChunkDigest] = chunk_digest,
         region: Callable[[DomainName], RegionName] = RegionName,
     ) -> None:
-        self.me = me
+        self.local = local
         self.events = events
         self.metrics = metrics
         self.http = http
@@ -106,7 +106,7 @@
         self.region = region
         self.counts = TransferCounts()
 
-    def count_received(self, cargo: Cargo, size: int, sender: DomainName) -> None:
+    def count_received(self, cargo: PayloadKind, size: int, sender: DomainName) -> None:
         """Count bytes received from another process, by kind of link.
 
         Args:
@@ -114,17 +114,17 @@
             size: Number of bytes.
             sender: Failure domain of the sender.
         """
-        if sender == self.me.domain:
-            link = Link.DOMAIN
-        elif self.region(sender) == self.region(self.me.domain):
-            link = Link.REGION
+        if sender == self.local.domain:
+            link = LinkKind.DOMAIN
+        elif self.region(sender) == self.region(self.local.domain):
+            link = LinkKind.REGION
         else:
-            link = Link.ABROAD
-        self.events.figures.count(byte_counter(cargo, link), size)
+            link = LinkKind.INTER_REGION
+        self.events.metrics.count(byte_counter(cargo, link), size)
 
-    def count_drawn(self, cargo: Cargo, size: int) -> None:
+    def count_received_from_origin(self, cargo: PayloadKind, size: int) -> None:
         """Count bytes received from the origin."""
-        self.events.figures.count(byte_counter(cargo, Link.ORIGIN), size)
+        self.events.metrics.count(byte_counter(cargo, LinkKind.ORIGIN), size)
 
 
 def sha256_digest(data: bytes) -> ChunkDigest:
--- a/src/ridgecourse/exchange/origin.py
+++ b/src/ridgecourse/exchange/origin.py
@@ -3,7 +3,7 @@
 from abc import ABC, abstractmethod
 
 from ridgecourse.core.ids import ModelName, WeightsVersion
-from ridgecourse.core.manifest import ChunkPlace, Manifest
+from ridgecourse.core.manifest import ChunkLocation, Manifest
 
 
 class OriginUnavailable(Exception):
@@ -25,10 +25,10 @@
         received_bytes: Bytes received from the origin so far.
     """
 
-    drawn: int
+    received_bytes: int
 
     @abstractmethod
-    def chunk(self, place: ChunkPlace, stall: float) -> bytes:
+    def chunk(self, place: ChunkLocation, stall: float) -> bytes:
         """Return a chunk's bytes without verifying them.
 
         Args:
--- a/src/ridgecourse/exchange/server.py
+++ b/src/ridgecourse/exchange/server.py
@@ -12,9 +12,9 @@
 from ridgecourse.net.broadcast import Broadcast
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.http_server import HttpReply, HttpRequest, HttpRouter
-from ridgecourse.net.throttle import Throttle, in_pieces
+from ridgecourse.net.throttle import Throttle, split_into_pieces
 from ridgecourse.net.websocket import ControlChannel
-from ridgecourse.wire.control import Follow, Holds
+from ridgecourse.wire.control import Follow, HeldChunks
 
 CHUNK_PATH = "/chunks/"
 MANIFEST_PATH = "/manifests/"
@@ -57,7 +57,7 @@
     """
 
     def __init__(self, context: ExchangeContext) -> None:
-        self.domain = context.me.domain
+        self.domain = context.local.domain
         self.store = context.store
         self.policy = context.link
         self.key = context.key
@@ -180,7 +180,7 @@
 
     def _upload(self, data: bytes, pacer: Throttle | None) -> Iterator[bytes]:
         """Yield a chunk in paced pieces; release the upload slot at the end."""
-        pieces = in_pieces(data, PIECE_BYTES)
+        pieces = split_into_pieces(data, PIECE_BYTES)
         if pacer is not None:
             pieces = pacer.pace(pieces)
         try:
@@ -236,7 +236,7 @@
             if ticket not in self.tickets:
                 return
 
-    def tell_holdings(self, channel: ControlChannel, follow: Follow) -> None:
+    def announce_holdings(self, channel: ControlChannel, follow: Follow) -> None:
         """Announce the available chunks of a version until the follower disconnects.
 
         Raises:
@@ -246,7 +246,7 @@
             holding = self.holdings.get(follow.root)
             if holding is None:
                 self.joined.wait(1.0)
-                channel.send(Holds(follow.root, []))
+                channel.send(HeldChunks(follow.root, []))
                 continue
             self._announce_holding(channel, holding)
 
@@ -261,8 +261,8 @@
                 seen_sent += len(seen)
                 sent_as_held = set(held)
                 others = [index for index in seen if index not in sent_as_held]
-                channel.send(Holds(holding.root, held, others))
+                channel.send(HeldChunks(holding.root, held, others))
                 eventlet.sleep(HOLDS_INTERVAL_SECONDS)
             elif not holding.changed.wait(1.0):
                 # Keepalive, which also detects a follower that disconnected.
-                channel.send(Holds(holding.root, []))
+                channel.send(HeldChunks(holding.root, []))
--- a/src/ridgecourse/exchange/store.py
+++ b/src/ridgecourse/exchange/store.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 from ridgecourse.core.ids import ChunkDigest
-from ridgecourse.core.manifest import ChunkPlace, Manifest
+from ridgecourse.core.manifest import ChunkLocation, Manifest
 
 
 class OutOfBudget(Exception):
@@ -37,7 +37,7 @@
         """Return a chunk's bytes; None if the chunk is not stored."""
         return self.chunks.get(digest)
 
-    def held_of(self, places: Iterable[ChunkPlace]) -> list[ChunkDigest]:
+    def stored_digests(self, places: Iterable[ChunkLocation]) -> list[ChunkDigest]:
         """Return the digests of a version's chunks that are stored."""
         return [place.digest for place in places if place.digest in self.chunks]
 
