--- a/src/ridgecourse/exchange/transfer.py
+++ b/src/ridgecourse/exchange/transfer.py
@@ -13,10 +13,10 @@
 
 import eventlet
 
-from ridgecourse.core.fetches import ORIGIN, Fetch, FetchFailure, Member
+from ridgecourse.core.byte_counters import PayloadKind
+from ridgecourse.core.fetch_types import ORIGIN, Fetch, FetchFailure, Member
 from ridgecourse.core.hubs import Peer
 from ridgecourse.core.ids import ChunkDigest, DomainName, Seconds, TargetName
-from ridgecourse.core.links import Cargo
 from ridgecourse.core.planner import ChunkPlanner
 from ridgecourse.exchange.context import ExchangeContext
 from ridgecourse.exchange.holding import Holding
@@ -40,7 +40,7 @@
 from ridgecourse.net.metrics import Metric
 from ridgecourse.net.threads import spawn_loop
 from ridgecourse.net.websocket import ChannelClosed, open_channel
-from ridgecourse.wire.control import PROTOCOL_VERSION, Follow, Holds
+from ridgecourse.wire.control import PROTOCOL_VERSION, Follow, HeldChunks
 
 logger = logging.getLogger(__name__)
 
@@ -103,7 +103,7 @@
         self.holding = holding
         self.peers = peers
         self.planner = ChunkPlanner(
-            context.me,
+            context.local,
             holding.root,
             [place.digest for place in holding.places],
             [holding.places[index].digest for index in holding.held],
@@ -115,14 +115,14 @@
             origin_domain=origin_domain,
         )
         if origin is None:
-            self.planner.origin.not_before = Seconds(inf)
-        self.counted_bytes = origin.drawn if origin is not None else 0
+            self.planner.origin_state.not_before = Seconds(inf)
+        self.counted_bytes = origin.received_bytes if origin is not None else 0
         self.rate = context.rate if paced else None
         self.unpaced_domain = unpaced_domain
         self.progress = Broadcast()
         self.referrals: dict[ChunkDigest, int] = {}
         self.corrupt_counts: dict[ChunkDigest, int] = {}
-        self.lacking: dict[ChunkDigest, str] = {}
+        self.missing_at_origin: dict[ChunkDigest, str] = {}
         self.is_needed = is_needed
         self.started_at = boottime()
         self.holdings_due_at = self.started_at + INITIAL_HOLDINGS_SECONDS
@@ -144,9 +144,9 @@
         for neighbour in self.planner.sources:
             self.threads.append(spawn_loop(self._follow, neighbour))
         if self.rate is not None:
-            self.rate.begin(boottime())
+            self.rate.record_start(boottime())
         try:
-            while not self.planner.complete() and not self.cancelled:
+            while not self.planner.is_complete() and not self.cancelled:
                 # An unavailable origin never reports that the version is outdated.
                 if not self.is_needed():
                     break
@@ -155,13 +155,13 @@
                 self._report_progress()
                 for fetch in self.planner.plan(boottime(), self._is_probing()):
                     self.threads.append(eventlet.spawn(self._fetch, fetch))
-                self.progress.wait(self.planner.wake_after())
+                self.progress.wait(self.planner.replan_delay())
                 self.threads = [thread for thread in self.threads if not thread.dead]
         finally:
             self.close()
             if self.rate is not None:
-                self.rate.end(boottime())
-        return self.planner.complete()
+                self.rate.record_end(boottime())
+        return self.planner.is_complete()
 
     def _is_probing(self) -> bool:
         """Check whether the first chunk is fetched alone to measure the link's rate.
@@ -175,7 +175,7 @@
         if rate is None or rate.is_known or self.unpaced_domain is not None:
             return False
         chunk = self.holding.manifest.chunk_size
-        return boottime() < self.started_at + rate.longest(chunk)
+        return boottime() < self.started_at + rate.max_transfer_seconds(chunk)
 
     @property
     def missing_share(self) -> float:
@@ -251,7 +251,7 @@
         """
         if boottime() < self.holdings_due_at:
             return
-        for digest, answer in self.lacking.items():
+        for digest, answer in self.missing_at_origin.items():
             if digest in self.planner.missing and not self.planner.rarity.get(digest):
                 raise TransferError(answer)
 
@@ -265,10 +265,10 @@
                 logger.debug(
                     "cannot follow the holdings of neighbour %s: %s", neighbour, error
                 )
-            self.planner.peer_lost(neighbour)
+            self.planner.drop_peer(neighbour)
             eventlet.sleep(REFOLLOW_SECONDS)
 
-    def _receive_holdings(self, neighbour: TargetName) -> Iterator[Holds]:
+    def _receive_holdings(self, neighbour: TargetName) -> Iterator[HeldChunks]:
         """Follow a neighbour and yield its announcements.
 
         Raises:
@@ -280,25 +280,25 @@
             self.context.source,
         )
         with closing(channel):
-            me = self.planner.me
+            me = self.planner.local
             channel.send(
                 Follow(PROTOCOL_VERSION, me.target, me.domain, self.holding.root)
             )
-            yield from channel.messages(Holds)
+            yield from channel.messages(HeldChunks)
 
-    def _apply_holds(self, neighbour: TargetName, holds: Holds) -> None:
+    def _apply_holds(self, neighbour: TargetName, holds: HeldChunks) -> None:
         """Pass the announced holdings of a neighbour to the planner."""
         if not holds.chunks and not holds.seen:
             return
         now = boottime()
         held = self.holding.add_seen(holds.chunks)
-        self.planner.peer_holds(neighbour, held, now)
-        if not self.planner.place.hubs:
+        self.planner.record_peer_chunks(neighbour, held, now)
+        if not self.planner.role.hubs:
             # Hubs announce their holdings to each other directly. Chunks that loaders
             # had seen at a failed hub stopped the hub's successor from fetching them
             # for 4.5 s, as if they were still available.
             seen = self.holding.add_seen(holds.seen)
-            self.planner.fleet_holds(seen, now)
+            self.planner.record_fleet_chunks(seen, now)
         self.progress.notify()
 
     def _fetch(self, fetch: Fetch) -> None:
@@ -306,7 +306,7 @@
         result = self._get_chunk(fetch)
         now = boottime()
         if isinstance(result, FetchFailure):
-            self.planner.failed(fetch.digest, fetch.source, result, now)
+            self.planner.record_failure(fetch.digest, fetch.source, result, now)
         else:
             self._store_chunk(fetch, result, now)
         self.progress.notify()
@@ -332,7 +332,7 @@
         source = fetch.source or "origin"
         self.context.events.emit(
             EventKind.CHUNK_REJECTED,
-            target=self.planner.me.target,
+            target=self.planner.local.target,
             version=self.holding.root,
             chunk=fetch.digest,
             source=source,
@@ -351,7 +351,9 @@
         except OriginBusy:
             return FetchFailure.BUSY
         except OriginMissing as error:
-            self.error = self.lacking[fetch.digest] = f"origin-missing: {error}"
+            self.error = self.missing_at_origin[fetch.digest] = (
+                f"origin-missing: {error}"
+            )
             return FetchFailure.MISSING
         except OriginUnavailable as error:
             self.error = f"origin-unavailable: {error}"
@@ -359,9 +361,11 @@
         self.error = ""
         # Chunks are fetched concurrently: count the bytes received since the last
         # fetch ended, so that each byte is counted once.
-        self.context.counts.from_origin += self.origin.drawn - self.counted_bytes
-        self.counted_bytes = self.origin.drawn
-        self.context.count_drawn(Cargo.WEIGHTS, len(data))
+        self.context.counts.from_origin += (
+            self.origin.received_bytes - self.counted_bytes
+        )
+        self.counted_bytes = self.origin.received_bytes
+        self.context.count_received_from_origin(PayloadKind.WEIGHTS, len(data))
         self.context.metrics.count(Metric.BYTES_FROM_ORIGIN, len(data))
         if len(data) != place.length:
             self.error = f"chunk-length: {place.path} at byte {place.start}"
@@ -372,7 +376,7 @@
         path = f"{CHUNK_PATH}{fetch.digest}"
         headers = {
             AUTH_HEADER: sign_request(self.context.key, "GET", path),
-            DOMAIN_HEADER: self.context.me.domain,
+            DOMAIN_HEADER: self.context.local.domain,
         }
         rate = None if peer.domain == self.unpaced_domain else self.rate
         if rate is not None:
@@ -421,8 +425,10 @@
         return FetchFailure.BUSY
 
     def _count_peer_bytes(self, source: TargetName, size: int) -> None:
-        self.context.count_received(Cargo.WEIGHTS, size, self.peers[source].domain)
-        if self.peers[source].domain == self.planner.me.domain:
+        self.context.count_received(
+            PayloadKind.WEIGHTS, size, self.peers[source].domain
+        )
+        if self.peers[source].domain == self.planner.local.domain:
             self.context.counts.from_domain += size
         else:
             self.context.counts.across_domains += size
@@ -430,7 +436,7 @@
 
     def _store_chunk(self, fetch: Fetch, data: bytes, now: Seconds) -> None:
         """Store a verified chunk, or count its bytes if it was fetched twice."""
-        if not self.planner.arrived(fetch.digest, fetch.source, now):
+        if not self.planner.record_arrival(fetch.digest, fetch.source, now):
             self.context.counts.fetched_twice += len(data)
             return
         self.last_progress = now
--- a/src/ridgecourse/gateway/blocked_requests.py
+++ b/src/ridgecourse/gateway/blocked_requests.py
@@ -11,18 +11,18 @@
 from msgspec import Struct
 from returns.result import Failure
 
-from ridgecourse.core.ids import RequestSignature
-from ridgecourse.core.suspect import (
-    SuspectNews,
+from ridgecourse.core.crash_reports import (
+    CrashReport,
 )
+from ridgecourse.core.ids import RequestSignature
 from ridgecourse.net.broadcast import Broadcast
 from ridgecourse.net.events import EventKind, EventStream
 from ridgecourse.net.record_source import (
+    AppendConflict,
     KeyedRecord,
     RecordSource,
     SourceUnavailable,
     Topic,
-    TopicGrown,
 )
 from ridgecourse.net.threads import spawn_loop
 from ridgecourse.wire.codec import decode_message, encode_message
@@ -38,7 +38,7 @@
         written_at: Time of the write in seconds since 1970, by the writer's clock.
     """
 
-    news: SuspectNews
+    news: CrashReport
     written_at: float
 
 
@@ -69,7 +69,7 @@
         if self.thread is not None:
             self.thread.kill()
 
-    def add(self, news: SuspectNews) -> None:
+    def add(self, news: CrashReport) -> None:
         """Schedule the record of a blocked request to be written.
 
         Failed writes are retried until the store accepts the record.
@@ -85,7 +85,7 @@
         self.pending[signature.hex()] = value
         self.changed.notify()
 
-    def read(self) -> list[SuspectNews]:
+    def read(self) -> list[CrashReport]:
         """Return the crash reports of the blocked requests in the store.
 
         Their ages include the time since they were written.
@@ -95,7 +95,7 @@
         """
         return list(self._decode(self.store.newest(Topic.BLOCKED).records))
 
-    def _decode(self, records: Iterable[KeyedRecord]) -> Iterator[SuspectNews]:
+    def _decode(self, records: Iterable[KeyedRecord]) -> Iterator[CrashReport]:
         for record in records:
             decoded = decode_message(record.value, StoredBlock)
             if isinstance(decoded, Failure):
@@ -103,7 +103,7 @@
                 self.events.emit(EventKind.BAD_INPUT, error=error)
                 continue
             stored: StoredBlock = decoded.unwrap()
-            yield stored.news.older(max(0.0, time() - stored.written_at))
+            yield stored.news.with_added_age(max(0.0, time() - stored.written_at))
 
     def _write_pending(self) -> None:
         while True:
@@ -120,8 +120,8 @@
             self.store.append(Topic.BLOCKED, key, value, end)
         except SourceUnavailable as error:
             self.events.emit(EventKind.LOG_LOST, topic="blocked", error=str(error))
-        except TopicGrown:
-            self.events.figures.count("blocked_elsewhere")
+        except AppendConflict:
+            self.events.metrics.count("blocked_elsewhere")
         else:
             if self.pending.get(key) == value:
                 del self.pending[key]
--- a/src/ridgecourse/gateway/crash_exchange.py
+++ b/src/ridgecourse/gateway/crash_gossip.py
@@ -14,16 +14,16 @@
 
 import eventlet
 
-from ridgecourse.core.suspect import (
-    SuspectNews,
+from ridgecourse.core.crash_reports import (
+    CrashReport,
 )
 from ridgecourse.gateway.gateway_link import GatewayLink
 from ridgecourse.net.address import Address, parse_address
 from ridgecourse.net.clock import boottime
-from ridgecourse.net.datagrams import MAX_BYTES
+from ridgecourse.net.datagrams import MAX_DATAGRAM_BYTES
 from ridgecourse.net.threads import spawn_loop
 from ridgecourse.wire.codec import encode_message
-from ridgecourse.wire.control import CrashNews, CrashQuery
+from ridgecourse.wire.control import CrashQuery, CrashReports
 
 RESEND_INTERVAL_SECONDS = 0.25
 RESEND_WINDOW_SECONDS = 2.0
@@ -55,8 +55,8 @@
             owners.
     """
 
-    for_all: Sequence[SuspectNews]
-    for_owners: Sequence[SuspectNews]
+    for_all: Sequence[CrashReport]
+    for_owners: Sequence[CrashReport]
 
 
 class CrashReportState(ABC):
@@ -67,7 +67,7 @@
         """Return the reports that changed within the last ``window`` seconds."""
 
     @abstractmethod
-    def persistent_reports(self) -> Sequence[SuspectNews]:
+    def persistent_reports(self) -> Sequence[CrashReport]:
         """Return all reports that other gateways need."""
 
     @abstractmethod
@@ -75,7 +75,7 @@
         """Apply the reports in the store; return whether the store could be read."""
 
     @abstractmethod
-    def take_news(self, news: CrashNews) -> None:
+    def apply_reports(self, news: CrashReports) -> None:
         """Apply the reports of another gateway."""
 
 
@@ -99,7 +99,7 @@
         self.is_synced = self.ready = first_start
         self.persistent_sent_at = 0.0
         self.threads: list[eventlet.greenthread.GreenThread] = []
-        link.handlers[CrashNews] = self._receive_reports
+        link.handlers[CrashReports] = self._receive_reports
         link.handlers[CrashQuery] = self._answer_query
 
     def start(self) -> None:
@@ -112,23 +112,23 @@
         for thread in self.threads:
             thread.kill()
 
-    def send_to_all(self, reports: Iterable[SuspectNews]) -> None:
+    def send_to_all(self, reports: Iterable[CrashReport]) -> None:
         """Send reports to all known gateways."""
         self._send(reports, self.link.all_addresses())
 
-    def send_to_owners(self, reports: Iterable[SuspectNews]) -> None:
+    def send_to_owners(self, reports: Iterable[CrashReport]) -> None:
         """Send each report to the gateways that collect the reports of its request."""
         for report in reports:
             self._send([report], self.link.owners(report.signature.hex()))
 
     def _send(
-        self, reports: Iterable[SuspectNews], addresses: Sequence[Address]
+        self, reports: Iterable[CrashReport], addresses: Sequence[Address]
     ) -> None:
         for batch in split_into_datagrams(reports):
-            self.link.send(CrashNews(self.link.site.process, batch), addresses)
+            self.link.send(CrashReports(self.link.site.process, batch), addresses)
 
-    def _receive_reports(self, message: CrashNews) -> None:
-        self.state.take_news(message)
+    def _receive_reports(self, message: CrashReports) -> None:
+        self.state.apply_reports(message)
         if message.reply:
             self.is_synced = self.ready = True
 
@@ -139,13 +139,13 @@
         try:
             address = parse_address(query.reply_to)
         except ValueError:
-            self.link.socket.refused += 1
+            self.link.socket.rejected += 1
             return
         reports = self.state.persistent_reports()
         self._send(reports, [address])
         # The final message follows all reports; a link that preserves order delivers it
         # last.
-        self.link.send(CrashNews(self.link.site.process, [], reply=True), [address])
+        self.link.send(CrashReports(self.link.site.process, [], reply=True), [address])
 
     def _resend_reports(self) -> None:
         while True:
@@ -182,13 +182,13 @@
             self.ready = self.is_synced or boottime() - started_at >= MAX_SYNC_SECONDS
 
 
-def split_into_datagrams(reports: Iterable[SuspectNews]) -> Iterator[list[SuspectNews]]:
+def split_into_datagrams(reports: Iterable[CrashReport]) -> Iterator[list[CrashReport]]:
     """Yield the reports in batches that each fit into a datagram."""
-    batch: list[SuspectNews] = []
+    batch: list[CrashReport] = []
     size = HEADER_BYTES
     for report in reports:
         length = len(encode_message(report))
-        if batch and size + length > MAX_BYTES:
+        if batch and size + length > MAX_DATAGRAM_BYTES:
             yield batch
             batch, size = [], HEADER_BYTES
         batch.append(report)
--- a/src/ridgecourse/gateway/crash_watch.py
+++ b/src/ridgecourse/gateway/crash_watch.py
@@ -5,22 +5,22 @@
 
 import eventlet
 
+from ridgecourse.core.crash_reports import (
+    CrashReport,
+    Flight,
+)
 from ridgecourse.core.crash_suspects import (
-    LONE_MARKS,
+    EXCLUSIVE_STRIKES,
     CrashSuspects,
-    Verdict,
+    SendDecision,
 )
-from ridgecourse.core.engine_life import EngineLife
+from ridgecourse.core.engine_incarnation import EngineIncarnation
 from ridgecourse.core.ids import ProcessName, RequestSignature, Seconds
 from ridgecourse.core.outcome import Reason
 from ridgecourse.core.site import Site
-from ridgecourse.core.suspect import (
-    Flight,
-    SuspectNews,
-)
-from ridgecourse.core.targets import ListedTarget
+from ridgecourse.core.target_list import ListedTarget
 from ridgecourse.gateway.blocked_requests import BlockedRequestStore
-from ridgecourse.gateway.crash_exchange import (
+from ridgecourse.gateway.crash_gossip import (
     CrashGossip,
     CrashReportState,
     RecentReports,
@@ -32,7 +32,7 @@
 from ridgecourse.net.events import EventKind, EventStream
 from ridgecourse.net.probe import refuses_connections
 from ridgecourse.net.record_source import RecordSource, SourceUnavailable
-from ridgecourse.wire.control import CrashNews
+from ridgecourse.wire.control import CrashReports
 
 PROBE_DELAYS_SECONDS = (0.0, 0.02, 0.05)
 """Delay before each probe of an engine that closed a connection. An engine that ends
@@ -75,7 +75,7 @@
         self.events = events
         self.store = BlockedRequestStore(store, events)
         self.suspects = CrashSuspects()
-        self.ended: OrderedDict[EngineLife, None] = OrderedDict()
+        self.ended_incarnations: OrderedDict[EngineIncarnation, None] = OrderedDict()
         self.observed: OrderedDict[RequestSignature, None] = OrderedDict()
         self.blocked: frozenset[RequestSignature] = frozenset()
         self.changed = Broadcast()
@@ -102,11 +102,11 @@
         give_up_at = boottime() + MAX_WAIT_SHARE * max(0.0, time_left(routed.deadline))
         while True:
             now = boottime()
-            decision = self.suspects.judge(signature, now)
-            if decision is Verdict.FREE:
+            decision = self.suspects.check(signature, now)
+            if decision is SendDecision.FREE:
                 return None
-            if decision is Verdict.BLOCKED:
-                self.events.figures.count("requests_blocked")
+            if decision is SendDecision.BLOCKED:
+                self.events.metrics.count("requests_blocked")
                 return self._refuse_blocked(signature, now)
             if now >= give_up_at:
                 return NotRun(
@@ -124,39 +124,42 @@
             Reason.CRASHES_ENGINES,
             f"request {signature.hex()} was running when {', '.join(ends)} ended",
             arrived=False,
-            come_back=self.suspects.blocked_for(signature, now),
+            come_back=self.suspects.blocked_seconds(signature, now),
         )
 
-    def avoided(self, routed: RoutedRequest) -> Collection[EngineLife]:
+    def avoided(self, routed: RoutedRequest) -> Collection[EngineIncarnation]:
         """Return the engines that should not get a request if another can."""
-        return self.suspects.avoided(routed.signature, boottime())
+        return self.suspects.engines_to_avoid(routed.signature, boottime())
 
     def begin(
-        self, routed: RoutedRequest, target: ListedTarget, incarnation: EngineLife
+        self,
+        routed: RoutedRequest,
+        target: ListedTarget,
+        incarnation: EngineIncarnation,
     ) -> Flight:
         """Record that a request is sent to an engine."""
         signature = routed.signature
         flight = Flight(routed.call.request_id, signature, incarnation, target.address)
         self.suspects.begin(signature, incarnation)
-        strikes = self.suspects.count_marks(signature, boottime())
+        strikes = self.suspects.count_strikes(signature, boottime())
         if strikes:
-            self.events.figures.count("requests_suspected")
-        if strikes >= LONE_MARKS:
+            self.events.metrics.count("requests_suspected")
+        if strikes >= EXCLUSIVE_STRIKES:
             self._send_report(signature)
         return flight
 
     def finish(self, flight: Flight) -> None:
         """Record that a request has left an engine."""
-        self.suspects.finish(flight.signature, flight.life)
-        strikes = self.suspects.count_marks(flight.signature, boottime())
+        self.suspects.finish(flight.signature, flight.incarnation)
+        strikes = self.suspects.count_strikes(flight.signature, boottime())
         if strikes:
             self.changed.notify()
-        if strikes >= LONE_MARKS:
+        if strikes >= EXCLUSIVE_STRIKES:
             self._send_report(flight.signature)
 
-    def note_success(self, flight: Flight) -> None:
+    def record_success(self, flight: Flight) -> None:
         """Record that an engine answered a request."""
-        if not self.suspects.note_success(flight.signature, boottime()):
+        if not self.suspects.record_success(flight.signature, boottime()):
             return
         if flight.signature in self.blocked:
             self.store.remove(flight.signature)
@@ -168,13 +171,13 @@
         self._send_report(flight.signature)
         self.changed.notify()
 
-    def note_disconnect(self, flight: Flight) -> None:
+    def record_disconnect(self, flight: Flight) -> None:
         """Record that an engine closed a connection, and probe whether it ended."""
         disconnected_at = boottime()
         if not self._has_ended(flight):
             return
-        signature, incarnation = flight.signature, flight.life
-        if not self.suspects.note_end(signature, incarnation, disconnected_at):
+        signature, incarnation = flight.signature, flight.incarnation
+        if not self.suspects.record_end(signature, incarnation, disconnected_at):
             return
         self.observed[signature] = None
         if len(self.observed) > MAX_OBSERVED:
@@ -184,22 +187,22 @@
             request=flight.request_id,
             target=incarnation.target,
             signature=signature.hex(),
-            marks=self.suspects.count_marks(signature, disconnected_at),
+            marks=self.suspects.count_strikes(signature, disconnected_at),
         )
         self._send_report(signature)
         if signature in self._update_blocked():
-            self.store.add(self.suspects.tell(signature, disconnected_at))
+            self.store.add(self.suspects.make_report(signature, disconnected_at))
 
     def _has_ended(self, flight: Flight) -> bool:
         """Return whether the incarnation that closed a connection has ended."""
         for delay in PROBE_DELAYS_SECONDS:
             eventlet.sleep(delay)
-            if flight.life in self.ended:
+            if flight.incarnation in self.ended_incarnations:
                 return True
             if refuses_connections(flight.address, PROBE_TIMEOUT_SECONDS):
-                self.ended[flight.life] = None
-                if len(self.ended) > MAX_ENDED:
-                    self.ended.popitem(last=False)
+                self.ended_incarnations[flight.incarnation] = None
+                if len(self.ended_incarnations) > MAX_ENDED:
+                    self.ended_incarnations.popitem(last=False)
                 return True
         return False
 
@@ -224,17 +227,17 @@
     def _send_report(self, signature: RequestSignature) -> None:
         """Send the report of a request to all gateways or to its key owners."""
         reports = self._make_reports([signature])
-        if reports and self.suspects.concerns_all(signature, boottime()):
+        if reports and self.suspects.must_inform_all(signature, boottime()):
             self.gossip.send_to_all(reports)
         elif reports:
             self.gossip.send_to_owners(reports)
 
     def _make_reports(
         self, signatures: Iterable[RequestSignature]
-    ) -> Sequence[SuspectNews]:
+    ) -> Sequence[CrashReport]:
         now = boottime()
         return [
-            self.suspects.tell(signature, now)
+            self.suspects.make_report(signature, now)
             for signature in signatures
             if signature in self.suspects.suspects
         ]
@@ -242,13 +245,13 @@
     def recent_reports(self, window: float) -> RecentReports:
         """Return the reports changed within ``window`` s; see ``CrashReportState``."""
         now = boottime()
-        recent = self.suspects.recent(now, window)
+        recent = self.suspects.recently_changed(now, window)
         for_all = [
             signature
             for signature in recent
-            if self.suspects.concerns_all(signature, now)
+            if self.suspects.must_inform_all(signature, now)
         ]
-        recent = self.suspects.recent(now, min(window, STRIKE_RESEND_SECONDS))
+        recent = self.suspects.recently_changed(now, min(window, STRIKE_RESEND_SECONDS))
         observed = [
             signature
             for signature in recent
@@ -256,9 +259,9 @@
         ]
         return RecentReports(self._make_reports(for_all), self._make_reports(observed))
 
-    def persistent_reports(self) -> Sequence[SuspectNews]:
+    def persistent_reports(self) -> Sequence[CrashReport]:
         """Return all reports that other gateways need; see ``CrashReportState``."""
-        return self._make_reports(self.suspects.lasting(boottime()))
+        return self._make_reports(self.suspects.find_exclusive(boottime()))
 
     def load_stored(self) -> bool:
         """Apply the reports in the store; see ``CrashReportState``."""
@@ -268,20 +271,20 @@
             self.events.emit(EventKind.LOG_LOST, topic="blocked", error=str(error))
             return False
         for report in stored:
-            self.suspects.take(report, STORE_PROCESS, boottime())
+            self.suspects.apply_report(report, STORE_PROCESS, boottime())
         self._update_blocked()
         return True
 
-    def take_news(self, news: CrashNews) -> None:
+    def apply_reports(self, news: CrashReports) -> None:
         """Apply the reports of another gateway; see ``CrashReportState``."""
         now = boottime()
         completed = set()
         for report in news.suspects:
-            is_new = self.suspects.take(report, news.process, now)
-            if is_new and self.suspects.completes(report, now):
+            is_new = self.suspects.apply_report(report, news.process, now)
+            if is_new and self.suspects.has_more_strikes(report, now):
                 completed.add(report.signature)
                 self._send_report(report.signature)
         if news.suspects:
             # The reports may also end a trial at another gateway.
             for signature in self._update_blocked() & completed:
-                self.store.add(self.suspects.tell(signature, now))
+                self.store.add(self.suspects.make_report(signature, now))
--- a/src/ridgecourse/gateway/dispatcher.py
+++ b/src/ridgecourse/gateway/dispatcher.py
@@ -9,23 +9,23 @@
 from msgspec import structs
 
 from ridgecourse.cluster.view import ClusterView
-from ridgecourse.core.engine_life import EngineLife
-from ridgecourse.core.engine_load import Pending
+from ridgecourse.core.crash_reports import (
+    Flight,
+)
+from ridgecourse.core.engine_incarnation import EngineIncarnation
+from ridgecourse.core.engine_load import PendingRequest
 from ridgecourse.core.ids import Seconds, ServiceName
-from ridgecourse.core.letting_in import Prospect, excess_wait
+from ridgecourse.core.load_shedding import AdmissionEstimate, excess_wait
 from ridgecourse.core.outcome import Reason
 from ridgecourse.core.placement import FIRST_EVENT_SECONDS
 from ridgecourse.core.recent_peak import RecentPeak
 from ridgecourse.core.retry import RetryBudget
 from ridgecourse.core.site import Site
-from ridgecourse.core.suspect import (
-    Flight,
-)
-from ridgecourse.core.target_states import TargetState
-from ridgecourse.core.targets import ListedTarget
+from ridgecourse.core.target_list import ListedTarget
+from ridgecourse.core.target_states import TargetHealth
 from ridgecourse.gateway.crash_watch import CrashWatch
 from ridgecourse.gateway.limit_watch import LimitWatch
-from ridgecourse.gateway.loads import LoadWatcher
+from ridgecourse.gateway.load_watcher import LoadWatcher
 from ridgecourse.gateway.messages import AnswerHead
 from ridgecourse.gateway.protocol import RequestProtocol
 from ridgecourse.gateway.selection import (
@@ -48,14 +48,14 @@
 from ridgecourse.gateway.terms import Terms
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.events import EventKind, EventStream
-from ridgecourse.net.front_server import CallerGone
+from ridgecourse.net.front_server import ClientDisconnected
 
 MIN_ATTEMPT_SECONDS = 0.05
 """A request is not sent again with less time left than this."""
 RETRY_BUDGET_SHARE = 0.9
 """Share of the allowed retries that gateways use, since entries count their own retries
 separately."""
-FEWEST_GATEWAYS = 12
+MIN_GATEWAYS = 12
 """Smallest number of gateways by which the slack of the retry budget is divided, since
 some gateways may not be known yet. Above it, the number of known gateways is used."""
 
@@ -104,16 +104,16 @@
         Each gateway gets an equal share of the slack for all gateways.
         """
         bounds = self.site.bounds
-        share = bounds.retry_slack / max(FEWEST_GATEWAYS, self.count_gateways())
+        share = bounds.retry_slack / max(MIN_GATEWAYS, self.count_gateways())
         if service not in self.budgets:
             ratio = bounds.retry_ratio * RETRY_BUDGET_SHARE
             self.budgets[service] = RetryBudget(ratio, share)
         budget = self.budgets[service]
-        budget.limit(share)
+        budget.set_ceiling(share)
         return budget
 
     def try_targets(
-        self, routed: RoutedRequest, terms: Terms, tried: set[EngineLife]
+        self, routed: RoutedRequest, terms: Terms, tried: set[EngineIncarnation]
     ) -> SendResult:
         """Send a request until a target answers, or until it must not be sent again.
 
@@ -141,12 +141,14 @@
                 result = NotRun(Reason.OVERLOADED, detail, arrived=False)
                 break
             if routed.is_abandoned():
-                raise CallerGone("the client disconnected before the request was sent")
+                raise ClientDisconnected(
+                    "the client disconnected before the request was sent"
+                )
             if not tried and (
                 overload := self._check_load_shedding(routed, terms, choice)
             ):
                 return overload
-            if send_count and not self.budget(terms.service.name).take_retry():
+            if send_count and not self.budget(terms.service.name).spend_retry():
                 break
             result = self._send_once(routed, choice, tried)
             if isinstance(result, (Whole, Stream)):
@@ -168,15 +170,15 @@
         if engine is None or not terms.route.objective:
             return None
         now = boottime()
-        delay = self.selector.delays[terms.service.name].expect(now)
-        prospect = Prospect(
+        delay = self.selector.first_event_delays[terms.service.name].expected_delay(now)
+        prospect = AdmissionEstimate(
             objective=terms.route.objective,
             waited=routed.waited,
             wait=choice.wait,
-            reading=choice.reading,
-            fill=self.selector.fill(choice.target, now),
-            delay=delay,
-            left=time_left(routed.deadline),
+            prefill_time=choice.prefill_time,
+            occupancy=self.selector.occupancy(choice.target, now),
+            estimate_error=delay,
+            remaining=time_left(routed.deadline),
         )
         excess = excess_wait(prospect)
         if excess is None:
@@ -184,16 +186,16 @@
         routed.excess = excess
         detail = (
             f"estimated wait {choice.wait:.2f} s, first-event delay {delay:.2f} s at "
-            f"{choice.target.target}, utilization {prospect.fill:.2f}, after "
+            f"{choice.target.target}, utilization {prospect.occupancy:.2f}, after "
             f"{routed.waited:.2f} s of waiting"
         )
         return NotRun(Reason.OVERLOADED, detail, arrived=False)
 
     def _send_once(
-        self, routed: RoutedRequest, choice: Choice, tried: set[EngineLife]
+        self, routed: RoutedRequest, choice: Choice, tried: set[EngineIncarnation]
     ) -> SendResult:
         target = choice.target
-        incarnation = self.selector.life(target)
+        incarnation = self.selector.incarnation(target)
         tried.add(incarnation)
         routed.version, routed.begin_by = choice.terms.version, choice.terms.begin_by
         # Load and state belong to the incarnation that gets the request, so that the
@@ -202,15 +204,17 @@
         self._wait_for_limit(routed, choice, incarnation)
         sent_at = boottime()
         load.outstanding += 1
-        load.waiting[routed.call.request_id] = Pending(sent_at, choice.reading)
+        load.pending[routed.call.request_id] = PendingRequest(
+            sent_at, choice.prefill_time
+        )
         result: SendResult | None = None
         flight = self.crash_watch.begin(routed, target, incarnation)
         try:
             record_head = partial(self._record_head, incarnation)
-            result = self.sender.send(routed, target, state.ways, record_head)
+            result = self.sender.send(routed, target, state.network_delays, record_head)
             self._record_engine_outcome(flight, result)
         finally:
-            load.waiting.pop(routed.call.request_id, None)
+            load.pending.pop(routed.call.request_id, None)
             if isinstance(result, Stream):
                 result.load, result.flight = load, flight
             else:
@@ -219,41 +223,43 @@
         self._update_target_state(result, target, state)
         if isinstance(result, Stream):
             now = boottime()
-            expected_seconds = choice.wait + choice.reading + FIRST_EVENT_SECONDS
-            self.selector.delays[target.service].observe(
+            expected_seconds = choice.wait + choice.prefill_time + FIRST_EVENT_SECONDS
+            self.selector.first_event_delays[target.service].observe(
                 now - sent_at - expected_seconds, now
             )
         self._emit_dispatched(routed, choice, result, boottime() - sent_at)
         return result
 
     def _wait_for_limit(
-        self, routed: RoutedRequest, choice: Choice, incarnation: EngineLife
+        self, routed: RoutedRequest, choice: Choice, incarnation: EngineIncarnation
     ) -> None:
         """Wait until a target with a rate limit may get a request.
 
         Raises:
             CallerGone: The client disconnected meanwhile.
         """
-        self.limit_watch.limits.take(incarnation, boottime())
+        self.limit_watch.limits.record_send(incarnation, boottime())
         if choice.hold:
             eventlet.sleep(choice.hold)
             if routed.is_abandoned():
-                raise CallerGone("the client disconnected before the request was sent")
+                raise ClientDisconnected(
+                    "the client disconnected before the request was sent"
+                )
 
-    def _record_head(self, incarnation: EngineLife, head: AnswerHead) -> None:
+    def _record_head(self, incarnation: EngineIncarnation, head: AnswerHead) -> None:
         """Record the rate limit in the head of a target's answer."""
         if not head.other_target:
-            self.limit_watch.note_answer(incarnation, head)
+            self.limit_watch.record_answer(incarnation, head)
 
     def _record_engine_outcome(self, flight: Flight, result: SendResult) -> None:
         """Record whether an engine answered a request or closed its connection."""
         if isinstance(result, Whole):
-            self.crash_watch.note_success(flight)
+            self.crash_watch.record_success(flight)
         elif isinstance(result, Unknown) and result.disconnected:
-            self.crash_watch.note_disconnect(flight)
+            self.crash_watch.record_disconnect(flight)
 
     def _update_target_state(
-        self, result: SendResult, target: ListedTarget, state: TargetState
+        self, result: SendResult, target: ListedTarget, state: TargetHealth
     ) -> None:
         """Update the health of a target from the result of a send."""
         now = boottime()
@@ -264,8 +270,8 @@
             state.not_before = Seconds(now + REFUSED_PAUSE_SECONDS)
             return
         if isinstance(result, (Whole, Stream)):
-            state.succeeded()
-        elif state.failed(now):
+            state.record_success()
+        elif state.record_failure(now):
             self.events.emit(EventKind.TARGET_EJECTED, target=target.target)
 
     def _emit_dispatched(
@@ -274,7 +280,7 @@
         target = choice.target
         load = self.selector.load(target)
         begin_by = choice.terms.begin_by
-        self.events.figures.observe("first_answer", elapsed)
+        self.events.metrics.observe("first_answer", elapsed)
         detail: dict[str, Any] = (
             structs.asdict(result) if isinstance(result, (NotRun, Unknown)) else {}
         )
--- a/src/ridgecourse/gateway/gateway.py
+++ b/src/ridgecourse/gateway/gateway.py
@@ -19,12 +19,12 @@
 from ridgecourse.gateway.gateway_link import GatewayLink
 from ridgecourse.gateway.hub import Hub
 from ridgecourse.gateway.limit_watch import LimitWatch
-from ridgecourse.gateway.loads import LoadWatcher
+from ridgecourse.gateway.load_watcher import LoadWatcher
 from ridgecourse.gateway.protocol import RequestProtocol
 from ridgecourse.net.address import parse_address
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.events import EventKind, EventStream
-from ridgecourse.net.figures import FiguresServer
+from ridgecourse.net.figures import MetricsServer
 from ridgecourse.net.front_server import FrontReply, FrontRequest, FrontServer
 from ridgecourse.net.http_client import HttpClient
 from ridgecourse.net.http_server import HttpReply, HttpRequest, HttpRouter, HttpServer
@@ -79,9 +79,9 @@
         self.view = open_view(site, store, self, self.events, GATEWAY_PACE)
         self.hub = Hub(site, self.view, self.events, origin, http)
         self.load_watcher = LoadWatcher(site, self.view, self.hub, self.events)
-        self.lag = LoopLag(self.events.figures)
+        self.lag = LoopLag(self.events.metrics)
         random = Random()
-        self.link = GatewayLink(site, self.hub.place, self.hub.known, random)
+        self.link = GatewayLink(site, self.hub.local, self.hub.known_gateways, random)
         self.crash_watch = CrashWatch(site, self.events, self.link, source)
         self.limit_watch = LimitWatch(self.events, self.link)
         self.dispatcher = Dispatcher(
@@ -104,7 +104,7 @@
         self.router = HttpRouter()
         self.router.add("GET", ready_path, self.serve_ready)
         self.readiness = HttpServer(parse_address(site.readiness), self.router)
-        self.figures = FiguresServer(site.host, self.events.figures)
+        self.figures = MetricsServer(site.host, self.events.metrics)
         self.stopping = False
         self.threads: list = []
 
@@ -132,7 +132,7 @@
 
     def known_gateways(self) -> Collection[Peer]:
         """Return the other known gateways."""
-        return self.hub.known()
+        return self.hub.known_gateways()
 
     def record_peers(self) -> Sequence[str]:
         """Return the addresses to request the store's records from, nearest first."""
@@ -141,9 +141,11 @@
     def choose_parent(self, avoided: Collection[TargetName]) -> Peer | None:
         """Return the gateway to read decisions from, or None to read from the store."""
         gateways = [
-            gateway for gateway in self.hub.known() if gateway.name not in avoided
+            gateway
+            for gateway in self.hub.known_gateways()
+            if gateway.name not in avoided
         ]
-        return gateway_parent(self.hub.place, gateways)
+        return gateway_parent(self.hub.local, gateways)
 
     def handle(self, request: FrontRequest) -> FrontReply:
         """Return the answer to a client's request."""
@@ -151,13 +153,13 @@
 
     def serve_ready(self, request: HttpRequest) -> HttpReply:
         """Return 200 if the load balancer may send clients here, otherwise 503."""
-        ready = self.view.ready() and self.crash_watch.gossip.ready
+        ready = self.view.is_ready() and self.crash_watch.gossip.ready
         ready = ready and not self.stopping
         return HttpReply(200 if ready else 503)
 
-    def take_bounds(self) -> None:
+    def apply_limits(self) -> None:
         """Apply the operators' limits from the current settings."""
-        self.view.take_version_bound(self.site.bounds.version_seconds)
+        self.view.set_version_bound(self.site.bounds.version_seconds)
         self.dispatcher.budgets.clear()
 
     def drain(self) -> None:
@@ -170,12 +172,12 @@
             self.hub.withdraw()
         eventlet.sleep(UNREADY_GRACE_SECONDS)
         self.front.stop_listening()
-        self.front.closing = True
-        self.front.end_idle_connections()
+        self.front.is_closing = True
+        self.front.close_idle_connections()
         drain_until = started_at + self.site.bounds.stop_seconds - STOP_MARGIN_SECONDS
         while self.front.in_flight and boottime() < drain_until:
             eventlet.sleep(DRAIN_POLL_SECONDS)
-            self.front.end_idle_connections()
+            self.front.close_idle_connections()
 
     def close(self) -> None:
         """Stop all threads and close all servers."""
--- a/src/ridgecourse/gateway/gateway_link.py
+++ b/src/ridgecourse/gateway/gateway_link.py
@@ -12,7 +12,7 @@
 from ridgecourse.net.address import Address, parse_address
 from ridgecourse.net.datagrams import DatagramSocket
 from ridgecourse.net.threads import spawn_loop
-from ridgecourse.wire.control import GatewayNews
+from ridgecourse.wire.control import GatewayMessage
 
 PORT_OFFSET = 2
 """Offset of this port from the control port; the port between them serves chunks."""
@@ -98,5 +98,5 @@
         return [Address(host, self.address.port) for host in hosts - {self.site.host}]
 
     def _receive(self) -> None:
-        for _, message in self.socket.messages(GatewayNews):
+        for _, message in self.socket.messages(GatewayMessage):
             self.handlers[type(message)](message)
--- a/src/ridgecourse/gateway/hub.py
+++ b/src/ridgecourse/gateway/hub.py
@@ -20,16 +20,16 @@
 )
 from ridgecourse.core.ids import TargetName
 from ridgecourse.core.site import Site
-from ridgecourse.core.supersession import is_of_use
+from ridgecourse.core.supersession import is_usable
 from ridgecourse.exchange.catalogue import Catalogue, VersionKey
 from ridgecourse.exchange.holding import Holding
 from ridgecourse.exchange.origin import WeightsOrigin
 from ridgecourse.exchange.server import Exchange
 from ridgecourse.exchange.transfer import Transfer, TransferError
 from ridgecourse.gateway.hub_context import make_hub_context
-from ridgecourse.gateway.left_versions import SkippedVersions
-from ridgecourse.gateway.told_gateways import AnnouncedGateways, KnownPeers
-from ridgecourse.gateway.warm_up import VersionFetcher, WarmUp
+from ridgecourse.gateway.known_peers import AnnouncedGateways, KnownPeers
+from ridgecourse.gateway.prefetch import Prefetch, VersionFetcher
+from ridgecourse.gateway.skipped_versions import SkippedVersions
 from ridgecourse.net.address import Address
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.events import EventKind, EventStream
@@ -102,7 +102,7 @@
         self.events = events
         self.origin = origin
         control_port = site.peer_ports[0]
-        self.place = Peer(
+        self.local = Peer(
             TargetName(site.host),
             site.domain,
             f"{site.host}:{control_port + 1}",
@@ -110,21 +110,21 @@
             site.upload_bytes_per_s,
         )
         self.announced = AnnouncedGateways()
-        self.peers = KnownPeers(site, view, self.announced, self.place)
+        self.peers = KnownPeers(site, view, self.announced, self.local)
         self.context = make_hub_context(site, events, http)
         self.exchange = Exchange(self.context)
-        self.catalogue = Catalogue(self.context, origin, self.want)
+        self.catalogue = Catalogue(self.context, origin, self.request_version)
         self.skipped = SkippedVersions(view, self.catalogue, events)
-        self.working: dict[VersionKey, eventlet.greenthread.GreenThread] = {}
+        self.fetching: dict[VersionKey, eventlet.greenthread.GreenThread] = {}
         self.transfers: dict[VersionKey, tuple[HubPlan, Transfer]] = {}
         self.requested_at: dict[VersionKey, float] = {}
         self.withdrawn = False
-        self.warm_up = WarmUp(self)
+        self.prefetch = Prefetch(self)
         self.announcement_thread: eventlet.greenthread.GreenThread | None = None
         router = HttpRouter()
         self.exchange.add_routes(router)
         self.catalogue.add_routes(router)
-        self.view.share.add_routes(router)
+        self.view.record_server.add_routes(router)
         router.add("GET", GATEWAYS_PATH, self.serve_gateways)
         self.relay = RecordRelay(view, http, self.peers.record_addresses, events)
         self.http_server = HttpServer(Address(site.host, control_port + 1), router)
@@ -139,14 +139,14 @@
         self.relay.start()
         self.announcement_thread = spawn_loop(self._fetch_on_announcement)
         if self.site.first_start:
-            self.warm_up.start()
+            self.prefetch.start()
 
     def close(self) -> None:
         """Close both servers and end all transfers."""
-        self.warm_up.close()
+        self.prefetch.close()
         if self.announcement_thread is not None:
             self.announcement_thread.kill()
-        for thread in self.working.values():
+        for thread in self.fetching.values():
             thread.kill()
         self.relay.close()
         self.control_server.close()
@@ -159,9 +159,9 @@
         origin's link for nothing.
         """
         self.withdrawn = True
-        for thread in self.working.values():
+        for thread in self.fetching.values():
             thread.kill()
-        self.working.clear()
+        self.fetching.clear()
 
     def handle_channel(self, channel: ControlChannel) -> None:
         """Announce the chunks available here to another process until it disconnects.
@@ -172,18 +172,18 @@
         follow = channel.receive(Follow, FIRST_MESSAGE_TIMEOUT_SECONDS)
         if follow is None:
             raise ChannelClosed("no first message")
-        self.exchange.tell_holdings(channel, follow)
+        self.exchange.announce_holdings(channel, follow)
 
-    def learn(
+    def record_gateways(
         self, loader: str, added: Iterable[Peer], removed: Iterable[TargetName] = ()
     ) -> None:
         """Record a connected loader and the gateways it reports added or removed."""
-        self.announced.learn(loader, added, removed)
+        self.announced.record_gateways(loader, added, removed)
         self._cancel_outdated_transfers()
 
-    def forget(self, loader: str) -> None:
+    def forget_loader(self, loader: str) -> None:
         """Drop the gateways reported by a loader that disconnected or reports anew."""
-        self.announced.forget(loader)
+        self.announced.forget_loader(loader)
         self._cancel_outdated_transfers()
 
     def _cancel_outdated_transfers(self) -> None:
@@ -193,21 +193,21 @@
                 # A gateway was added or removed: continue with the current gateways.
                 transfer.cancel()
 
-    def known(self) -> list[Peer]:
+    def known_gateways(self) -> list[Peer]:
         """Return the gateways that loaders report."""
-        return self.announced.known()
+        return self.announced.known_gateways()
 
     def count_gateways(self) -> int:
         """Return the number of gateways that loaders report, this one included."""
-        return self.announced.count_including(self.place)
+        return self.announced.count_including(self.local)
 
     def has_successor(self) -> bool:
         """Check whether another gateway of the failure domain can take over."""
-        return self.announced.has_other_in_domain(self.place)
+        return self.announced.has_other_in_domain(self.local)
 
     def serve_gateways(self, request: HttpRequest) -> HttpReply:
         """Return the known gateways to a loader that no gateway watches yet."""
-        gateways = {peer.name: peer for peer in [*self.known(), self.place]}
+        gateways = {peer.name: peer for peer in [*self.known_gateways(), self.local]}
         return HttpReply(200, encode_message(list(gateways.values())))
 
     def plan(self, key: VersionKey) -> HubPlan:
@@ -217,14 +217,14 @@
         from that hub, so that a second gateway does not fetch the version from the
         origin.
         """
-        return plan_hubs(str(key), self.known(), self.place)
+        return plan_hubs(str(key), self.known_gateways(), self.local)
 
     def _fetch_on_announcement(self) -> None:
         while True:
-            self.bring_named()
+            self.fetch_announced()
             self.view.changed.wait()
 
-    def bring_named(self) -> None:
+    def fetch_announced(self) -> None:
         """Fetch recently announced versions that this gateway is assigned to.
 
         Loaders request a version only once they have an older version complete. Without
@@ -232,22 +232,22 @@
         the hubs 3 s later than possible, and engines were without weights for that
         long.
         """
-        if not self.known():
+        if not self.known_gateways():
             # No loader has reported the other gateways yet; loaders request versions
             # from the gateway that is to fetch them.
             return
         for model, history in self.view.histories.items():
             key = (model, history.newest)
-            if history.is_recent(boottime()) and self.plan(key).holds:
-                self.want(key)
+            if history.is_recent(boottime()) and self.plan(key).fetches_version:
+                self.request_version(key)
 
-    def want(self, key: VersionKey) -> None:
+    def request_version(self, key: VersionKey) -> None:
         """Start to fetch a version, unless the fetch has started."""
-        if self.withdrawn or self.has(key) or key in self.working:
+        if self.withdrawn or self.is_complete(key) or key in self.fetching:
             return
         if not self.is_needed(key) or not self._is_assigned(key):
             return
-        self.working[key] = eventlet.spawn(self.bring, key)
+        self.fetching[key] = eventlet.spawn(self.fetch, key)
 
     def _is_assigned(self, key: VersionKey) -> bool:
         """Check whether this gateway is to fetch a version, as hub or standby hub.
@@ -256,7 +256,7 @@
         fetched copies of their own, these would load the hub's link: after a
         simultaneous start of all gateways, 7 of 9 fetched a copy each.
         """
-        return self.plan(key).holds or self._is_still_requested(key)
+        return self.plan(key).fetches_version or self._is_still_requested(key)
 
     def _is_still_requested(self, key: VersionKey) -> bool:
         """Check whether an unassigned version is still requested after the delay.
@@ -266,12 +266,12 @@
         first_requested_at = self.requested_at.setdefault(key, boottime())
         return boottime() - first_requested_at > UNASSIGNED_DELAY_SECONDS
 
-    def has(self, key: VersionKey) -> bool:
+    def is_complete(self, key: VersionKey) -> bool:
         """Check whether a version is available and complete."""
         holding = self.catalogue.holdings.get(key)
         return holding is not None and holding.complete
 
-    def bring(self, key: VersionKey) -> None:
+    def fetch(self, key: VersionKey) -> None:
         """Fetch a version for other processes until it is complete or not needed."""
         started_at = boottime()
         try:
@@ -293,7 +293,7 @@
                     )
                     return
         finally:
-            self.working.pop(key, None)
+            self.fetching.pop(key, None)
 
     def _wait_for_older(self, key: VersionKey) -> None:
         """Wait a bounded time while an older version is nearly complete."""
@@ -310,16 +310,16 @@
         delays the newer one.
         """
         plan = self.plan(key)
-        if self.place in plan.hubs or not plan.near:
+        if self.local in plan.hubs or not plan.local_gateways:
             return False
-        return self.catalogue.ask(plan.near[0], key) is not None
+        return self.catalogue.fetch_manifest(plan.local_gateways[0], key) is not None
 
     def _older_takes_precedence(self, key: VersionKey) -> bool:
         """Check whether an older version in transfer is to be completed first."""
         return any(
             other_key[0] == key[0]
             and other_key[1] < key[1]
-            and not transfer.lacking
+            and not transfer.missing_at_origin
             and self._takes_precedence(other_key, transfer, key)
             for other_key, (_, transfer) in self.transfers.items()
         )
@@ -339,9 +339,9 @@
             return False
         if self.skipped.is_skipped(key):
             return False
-        bound = history.dated_bound(key[1])
-        fetch_seconds = self.skipped.draw_seconds(key) or 0.0
-        return is_of_use(fetch_seconds, bound, boottime())
+        bound = history.known_start_deadline(key[1])
+        fetch_seconds = self.skipped.fetch_seconds(key) or 0.0
+        return is_usable(fetch_seconds, bound, boottime())
 
     def _try_fetch(self, key: VersionKey) -> bool:
         config = self.view.config
@@ -385,22 +385,24 @@
 
     def _notify_other_hubs(self, key: VersionKey, plan: HubPlan) -> None:
         """Ask the other hubs and the domain's standby hub to start fetching as well."""
-        notified = [*plan.hubs, *plan.near[:1]]
-        for peer in notified if self.place in plan.hubs else plan.hubs:
-            if peer != self.place:
-                eventlet.spawn(self.catalogue.ask, peer, key)
+        notified = [*plan.hubs, *plan.local_gateways[:1]]
+        for peer in notified if self.local in plan.hubs else plan.hubs:
+            if peer != self.local:
+                eventlet.spawn(self.catalogue.fetch_manifest, peer, key)
 
     def _find_manifest(
         self, key: VersionKey, origin: str, plan: HubPlan
     ) -> Holding | None:
         """Return a version's holding; the first hub asks the origin for a manifest."""
-        if self.place in plan.hubs:
-            rank = plan.hubs.index(self.place)
+        if self.local in plan.hubs:
+            rank = plan.hubs.index(self.local)
             loaders = self.peers.loaders_that_may_hold(key)[:MANIFEST_LOADERS]
             timeout = MANIFEST_STAGGER_SECONDS * (rank + bool(loaders))
             manifest_peers = [*plan.hubs[:rank], *loaders]
             return self.catalogue.find(key, origin, manifest_peers, timeout)
-        return self.catalogue.find(key, origin, plan.near, MANIFEST_TIMEOUT_SECONDS)
+        return self.catalogue.find(
+            key, origin, plan.local_gateways, MANIFEST_TIMEOUT_SECONDS
+        )
 
     def join(self, key: VersionKey, holding: Holding) -> None:
         """Join the exchange of a version, and drop versions older than needed."""
--- a/src/ridgecourse/gateway/hub_context.py
+++ b/src/ridgecourse/gateway/hub_context.py
@@ -1,6 +1,6 @@
 """Limits of a gateway's weight transfers: memory, rate, concurrency and back-off."""
 
-from ridgecourse.core.fetches import Member, PlanPolicy
+from ridgecourse.core.fetch_types import Member, PlanPolicy
 from ridgecourse.core.ids import TargetName
 from ridgecourse.core.site import Site
 from ridgecourse.exchange.context import (
@@ -42,7 +42,7 @@
         http: Client for all chunk requests.
     """
     return ExchangeContext(
-        me=Member(TargetName(site.host), site.domain),
+        local=Member(TargetName(site.host), site.domain),
         events=events,
         metrics=Metrics(site.process, None),
         http=http,
--- a/src/ridgecourse/gateway/told_gateways.py
+++ b/src/ridgecourse/gateway/known_peers.py
@@ -7,8 +7,8 @@
     HubPlan,
     Peer,
     loader_peers,
+    make_seed_addresses,
     nearest_first,
-    seed_peers,
 )
 from ridgecourse.core.ids import Seconds, TargetName
 from ridgecourse.core.site import Site
@@ -37,7 +37,7 @@
         """Check whether a loader is connected."""
         return loader in self.by_loader
 
-    def learn(
+    def record_gateways(
         self, loader: str, added: Iterable[Peer], removed: Iterable[TargetName]
     ) -> None:
         """Record a connected loader and the gateways it reports added or removed."""
@@ -47,12 +47,12 @@
         for name in removed:
             loader_gateways.pop(name, None)
 
-    def forget(self, loader: str) -> None:
+    def forget_loader(self, loader: str) -> None:
         """Drop the gateways reported by a loader that disconnected or reports anew."""
         self.by_loader.pop(loader, None)
         self.gateways = None
 
-    def known(self) -> list[Peer]:
+    def known_gateways(self) -> list[Peer]:
         """Return all reported gateways without duplicates."""
         return list(self._gather().values())
 
@@ -75,7 +75,7 @@
         """Check whether the local peer's domain has another gateway."""
         return any(
             gateway.domain == local.domain and gateway != local
-            for gateway in self.known()
+            for gateway in self.known_gateways()
         )
 
 
@@ -129,7 +129,9 @@
     def record_addresses(self) -> Sequence[str]:
         """Return the addresses to request the store's records from, nearest first."""
         known_addresses = nearest_first(
-            [*self.loaders(), *self.announced.known()], self.local
+            [*self.loaders(), *self.announced.known_gateways()], self.local
+        )
+        seed_addresses = make_seed_addresses(
+            self.site.seeds, self.site.peer_ports[0] + 1
         )
-        seed_addresses = seed_peers(self.site.seeds, self.site.peer_ports[0] + 1)
         return list(dict.fromkeys([*known_addresses, *seed_addresses]))
--- a/src/ridgecourse/gateway/limit_watch.py
+++ b/src/ridgecourse/gateway/limit_watch.py
@@ -4,16 +4,16 @@
 
 import eventlet
 
-from ridgecourse.core.engine_life import EngineLife
-from ridgecourse.core.engine_limits import EngineLimits, LimitNews
+from ridgecourse.core.engine_incarnation import EngineIncarnation
+from ridgecourse.core.engine_rate_limits import EngineRateLimits, LimitAnnouncement
 from ridgecourse.core.ids import Seconds, TargetId
-from ridgecourse.core.targets import ListedTarget
+from ridgecourse.core.target_list import ListedTarget
 from ridgecourse.gateway.gateway_link import GatewayLink
 from ridgecourse.gateway.messages import AnswerHead
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.events import EventKind, EventStream
 from ridgecourse.net.threads import spawn_loop
-from ridgecourse.wire.control import EngineLimitNews
+from ridgecourse.wire.control import EngineLimitReports
 
 ANNOUNCE_INTERVAL_SECONDS = 3.0
 """Interval between two announcements of a limit that lasts. A limit is remembered 4
@@ -41,10 +41,10 @@
     def __init__(self, events: EventStream, link: GatewayLink) -> None:
         self.events = events
         self.link = link
-        self.limits = EngineLimits(link.site, link.local)
-        self.unreadable: set[EngineLife] = set()
+        self.limits = EngineRateLimits(link.site, link.local)
+        self.unreadable: set[EngineIncarnation] = set()
         self.thread: eventlet.greenthread.GreenThread | None = None
-        link.handlers[EngineLimitNews] = self._receive_limits
+        link.handlers[EngineLimitReports] = self._receive_limits
 
     def start(self) -> None:
         """Start to announce limits to other gateways."""
@@ -55,17 +55,17 @@
         if self.thread is not None:
             self.thread.kill()
 
-    def wait(self, target: ListedTarget, incarnation: EngineLife) -> float:
+    def wait(self, target: ListedTarget, incarnation: EngineIncarnation) -> float:
         """Return the seconds until a target may get a request; may be infinite."""
-        if not self.limits.limited(incarnation):
+        if not self.limits.is_limited(incarnation):
             return 0.0
         known = self.link.known()
         return self.limits.wait(incarnation, target.domain, known, boottime())
 
-    def note_answer(self, incarnation: EngineLife, head: AnswerHead) -> None:
+    def record_answer(self, incarnation: EngineIncarnation, head: AnswerHead) -> None:
         """Record the rate limit in an answer's head, or its absence."""
         if head.bad_limit:
-            self.events.figures.count("bad_limits")
+            self.events.metrics.count("bad_limits")
             if incarnation not in self.unreadable:
                 self.unreadable.add(incarnation)
                 error = (
@@ -73,15 +73,15 @@
                 )
                 self.events.emit(EventKind.BAD_INPUT, error=error)
             return
-        if head.limit is None and not self.limits.limited(incarnation):
+        if head.limit is None and not self.limits.is_limited(incarnation):
             return
         now = boottime()
-        if not self.limits.hear(incarnation, head.limit, now):
+        if not self.limits.record_limit(incarnation, head.limit, now):
             return
         self.events.emit(
             EventKind.ENGINE_LIMIT, target=incarnation.target, rate=head.limit
         )
-        self._send([self.limits.tell(incarnation, now)], to_all=True)
+        self._send([self.limits.announce(incarnation, now)], to_all=True)
         eventlet.spawn(self._resend, incarnation)
 
     def forget_unlisted(self, listed: Container[TargetId]) -> None:
@@ -93,16 +93,20 @@
             if incarnation.target in listed
         }
 
-    def _receive_limits(self, message: EngineLimitNews) -> None:
+    def _receive_limits(self, message: EngineLimitReports) -> None:
         now = boottime()
         for report in message.limits:
-            self.limits.hear(report.life, report.rate, Seconds(now - report.age))
+            self.limits.record_limit(
+                report.incarnation, report.rate, Seconds(now - report.age)
+            )
 
-    def _resend(self, incarnation: EngineLife) -> None:
+    def _resend(self, incarnation: EngineIncarnation) -> None:
         for _ in range(RESEND_COUNT):
             eventlet.sleep(RESEND_INTERVAL_SECONDS)
-            if incarnation.target in self.limits.states.lives:
-                self._send([self.limits.tell(incarnation, boottime())], to_all=False)
+            if incarnation.target in self.limits.states.incarnations:
+                self._send(
+                    [self.limits.announce(incarnation, boottime())], to_all=False
+                )
 
     def _announce_limits(self) -> None:
         while True:
@@ -110,13 +114,16 @@
                 ANNOUNCE_INTERVAL_SECONDS * (0.5 + 0.5 * self.link.random.random())
             )
             self._send(
-                self.limits.due(boottime(), ANNOUNCE_INTERVAL_SECONDS / 2), to_all=True
+                self.limits.due_announcements(
+                    boottime(), ANNOUNCE_INTERVAL_SECONDS / 2
+                ),
+                to_all=True,
             )
 
-    def _send(self, reports: Sequence[LimitNews], to_all: bool) -> None:
+    def _send(self, reports: Sequence[LimitAnnouncement], to_all: bool) -> None:
         addresses = (
             self.link.all_addresses() if to_all else self.link.sample_addresses(FANOUT)
         )
         for offset in range(0, len(reports), MAX_PER_DATAGRAM):
             batch = list(reports[offset : offset + MAX_PER_DATAGRAM])
-            self.link.send(EngineLimitNews(batch), addresses)
+            self.link.send(EngineLimitReports(batch), addresses)
--- a/src/ridgecourse/gateway/loads.py
+++ b/src/ridgecourse/gateway/load_watcher.py
@@ -7,12 +7,12 @@
 import eventlet
 
 from ridgecourse.cluster.view import ClusterView
-from ridgecourse.core.engine_life import EngineLife
+from ridgecourse.core.engine_incarnation import EngineIncarnation
 from ridgecourse.core.engine_load import EngineLoad
 from ridgecourse.core.known_loads import KnownLoads
 from ridgecourse.core.report_rate import silence_limit
 from ridgecourse.core.site import Site
-from ridgecourse.core.targets import ListedTarget
+from ridgecourse.core.target_list import ListedTarget
 from ridgecourse.gateway.hub import Hub
 from ridgecourse.net.address import Address
 from ridgecourse.net.clock import boottime
@@ -24,7 +24,7 @@
     PROTOCOL_VERSION,
     EngineReport,
     LoaderReport,
-    Named,
+    VersionAges,
     Watch,
 )
 
@@ -86,11 +86,11 @@
 
     def load(self, target: ListedTarget) -> EngineLoad:
         """Return the known load of an engine's latest incarnation."""
-        return self.loads.of(target.life)
+        return self.loads.value_of(target.incarnation)
 
-    def life(self, target: ListedTarget) -> EngineLife:
+    def incarnation(self, target: ListedTarget) -> EngineIncarnation:
         """Return an engine's latest incarnation, by the list and its reports."""
-        return self.loads.latest(target.life)
+        return self.loads.latest(target.incarnation)
 
     def _update_followers(self) -> None:
         while True:
@@ -138,7 +138,7 @@
                     "lost the report connection for %s: %s", target.target, error
                 )
             finally:
-                self.hub.forget(target.address)
+                self.hub.forget_loader(target.address)
             eventlet.sleep(RECONNECT_SECONDS * (0.5 + random()))
 
     def _receive_reports(self, target: ListedTarget, control_address: str) -> None:
@@ -146,14 +146,14 @@
         channel = open_channel(control_address, "", self.site.host)
         with closing(channel):
             # Another incarnation of the loader numbers its reports from the start.
-            self.load(target).number = 0
+            self.load(target).sequence_number = 0
             requested_at = boottime()
             channel.send(
                 Watch(
                     PROTOCOL_VERSION,
                     self.site.process,
                     self._is_same_region(target),
-                    self.hub.place if self.offers_weights else None,
+                    self.hub.local if self.offers_weights else None,
                     str(self.report_socket.address),
                     hears_gateways=self._needs_gateways(target),
                 )
@@ -164,17 +164,17 @@
                     raise ChannelClosed("silent")
                 if isinstance(report, EngineReport):
                     self._apply_report(self.engines.get(target.host, target), report)
-                elif isinstance(report, Named):
-                    self.view.date_versions(report.versions, requested_at)
-                    self.hub.learn(target.address, ())
+                elif isinstance(report, VersionAges):
+                    self.view.apply_version_ages(report.versions, requested_at)
+                    self.hub.record_gateways(target.address, ())
                 else:
-                    self.hub.learn(target.address, report.came, report.gone)
+                    self.hub.record_gateways(target.address, report.came, report.gone)
 
     def _apply_report(self, target: ListedTarget, report: EngineReport) -> None:
         status, now = report.status, boottime()
-        incarnation = EngineLife(target.target, status.started)
-        previous = self.loads.of(incarnation).status
-        if not self.loads.report(incarnation, status, now, report.number):
+        incarnation = EngineIncarnation(target.target, status.started)
+        previous = self.loads.value_of(incarnation).status
+        if not self.loads.record_report(incarnation, status, now, report.number):
             return
         if previous is None or (previous.version, previous.busy) != (
             status.version,
--- a/src/ridgecourse/gateway/messages.py
+++ b/src/ridgecourse/gateway/messages.py
@@ -12,7 +12,7 @@
 from ridgecourse.net.http_server import HeaderList
 
 
-class CallerRequest(Struct, frozen=True):
+class ClientRequest(Struct, frozen=True):
     """Request of a client.
 
     Attributes:
--- a/src/ridgecourse/gateway/warm_up.py
+++ b/src/ridgecourse/gateway/prefetch.py
@@ -18,7 +18,7 @@
 from ridgecourse.exchange.context import ExchangeContext
 from ridgecourse.exchange.holding import Holding
 from ridgecourse.exchange.transfer import Transfer, TransferError
-from ridgecourse.gateway.told_gateways import AnnouncedGateways
+from ridgecourse.gateway.known_peers import AnnouncedGateways
 from ridgecourse.net.clock import boottime
 
 logger = logging.getLogger(__name__)
@@ -53,18 +53,18 @@
 
     site: Site
     view: ClusterView
-    place: Peer
+    local: Peer
     announced: AnnouncedGateways
     context: ExchangeContext
     catalogue: Catalogue
-    working: dict[VersionKey, eventlet.greenthread.GreenThread]
+    fetching: dict[VersionKey, eventlet.greenthread.GreenThread]
 
     @abstractmethod
-    def known(self) -> list[Peer]:
+    def known_gateways(self) -> list[Peer]:
         """Return the gateways that loaders report."""
 
     @abstractmethod
-    def has(self, key: VersionKey) -> bool:
+    def is_complete(self, key: VersionKey) -> bool:
         """Check whether a version is available and complete."""
 
     @abstractmethod
@@ -76,11 +76,11 @@
         """Join the exchange of a version, and drop versions older than needed."""
 
     @abstractmethod
-    def bring(self, key: VersionKey) -> None:
+    def fetch(self, key: VersionKey) -> None:
         """Fetch a version for other processes until it is complete or not needed."""
 
 
-class WarmUp:
+class Prefetch:
     """Fetches the first versions from the domain's engines, where they are staged."""
 
     def __init__(self, hub: VersionFetcher) -> None:
@@ -108,12 +108,14 @@
                 continue
             model = service.engine.model
             key = (model, self.hub.view.wanted_version(model))
-            if self.hub.has(key) or key in self.hub.working:
+            if self.hub.is_complete(key) or key in self.hub.fetching:
                 continue
-            if self.hub.place in choose_hubs(
-                str(key), [*self.hub.known(), self.hub.place]
+            if self.hub.local in choose_hubs(
+                str(key), [*self.hub.known_gateways(), self.hub.local]
             ):
-                self.hub.working[key] = eventlet.spawn(self._bring_staged, key, service)
+                self.hub.fetching[key] = eventlet.spawn(
+                    self._fetch_staged, key, service
+                )
 
     def _knows_loaders(self) -> bool:
         """Check whether the loaders of all listed engines of the domain are known."""
@@ -135,24 +137,24 @@
             address in self.hub.announced for address in loader_addresses
         )
 
-    def _bring_staged(self, key: VersionKey, service: Service) -> None:
+    def _fetch_staged(self, key: VersionKey, service: Service) -> None:
         """Fetch a version from the domain's engines, and the missing chunks as usual.
 
         A version that has been superseded is fetched only on request.
         """
         try:
             with eventlet.Timeout(STAGED_TIMEOUT_SECONDS, False):
-                self._take_staged(key, service)
+                self._copy_staged(key, service)
         except TransferError as error:
             logger.warning("cannot use the staged chunks of %s: %s", key, error)
-        if self.hub.has(key) or self.hub.view.wanted_version(key[0]) == key[1]:
-            self.hub.bring(key)
+        if self.hub.is_complete(key) or self.hub.view.wanted_version(key[0]) == key[1]:
+            self.hub.fetch(key)
         else:
             # The version was superseded meanwhile. Fetching it anyway made 12 of 36
             # chunks that the origin sent useless.
-            self.hub.working.pop(key, None)
+            self.hub.fetching.pop(key, None)
 
-    def _take_staged(self, key: VersionKey, service: Service) -> None:
+    def _copy_staged(self, key: VersionKey, service: Service) -> None:
         config = self.hub.view.config
         if config is None or config.origin is None:
             return
@@ -162,13 +164,13 @@
         self.hub.join(key, holding)
         domain_engines = [
             target
-            for target in self.hub.view.serving(service.name)
+            for target in self.hub.view.serving_targets(service.name)
             if target.domain == self.hub.site.domain and key[0] in target.models
         ]
         control_port = self.hub.site.peer_ports[0]
         peers = loader_peers(domain_engines, (control_port + 1, control_port))
         requester = eventlet.spawn(self._request_repeatedly, key, list(peers.values()))
-        hub_names = [self.hub.place.name]
+        hub_names = [self.hub.local.name]
         transfer = Transfer(
             self.hub.context, None, holding, peers, 1, hub_names, paced=False
         )
@@ -185,5 +187,5 @@
         """Request a version from loaders repeatedly; a starting loader has none yet."""
         while True:
             for loader in loaders:
-                self.hub.catalogue.ask(loader, key)
+                self.hub.catalogue.fetch_manifest(loader, key)
             eventlet.sleep(REQUEST_INTERVAL_SECONDS)
--- a/src/ridgecourse/gateway/protocol.py
+++ b/src/ridgecourse/gateway/protocol.py
@@ -5,8 +5,8 @@
 from returns.result import Result
 from urllib3 import BaseHTTPResponse
 
-from ridgecourse.core.finding import Findings
-from ridgecourse.gateway.messages import AnswerHead, CallerRequest, SendTerms
+from ridgecourse.core.problem import Problems
+from ridgecourse.gateway.messages import AnswerHead, ClientRequest, SendTerms
 from ridgecourse.net.front_server import FrontRequest
 from ridgecourse.net.http_server import HeaderList
 
@@ -15,11 +15,11 @@
     """Translates requests and answers between clients, gateway and targets."""
 
     @abstractmethod
-    def decode_request(self, request: FrontRequest) -> Result[CallerRequest, Findings]:
+    def decode_request(self, request: FrontRequest) -> Result[ClientRequest, Problems]:
         """Return a client's request, or the problems in its head."""
 
     @abstractmethod
-    def encode_request(self, call: CallerRequest, terms: SendTerms) -> HeaderList:
+    def encode_request(self, call: ClientRequest, terms: SendTerms) -> HeaderList:
         """Return the headers with which a request is sent to a target."""
 
     @abstractmethod
--- a/src/ridgecourse/gateway/selection.py
+++ b/src/ridgecourse/gateway/selection.py
@@ -7,26 +7,26 @@
 from msgspec import Struct
 
 from ridgecourse.cluster.view import ClusterView
-from ridgecourse.core.engine_life import EngineLife
-from ridgecourse.core.engine_load import EngineLoad, prompt_seconds
-from ridgecourse.core.first_events import FirstEventDelay
+from ridgecourse.core.engine_incarnation import EngineIncarnation
+from ridgecourse.core.engine_load import EngineLoad, prefill_seconds
+from ridgecourse.core.first_event_delay import FirstEventDelay
 from ridgecourse.core.ids import (
     ModelName,
     Seconds,
     ServiceName,
     WeightsVersion,
 )
-from ridgecourse.core.old_weights import TakeBack, may_wait
-from ridgecourse.core.placement import SENDERS, placement_cost
+from ridgecourse.core.old_weights import WithdrawalDelays, can_start_in_time
+from ridgecourse.core.placement import ASSUMED_SENDERS, placement_cost
 from ridgecourse.core.recent_peak import RecentPeak
 from ridgecourse.core.routes import Service
 from ridgecourse.core.site import Site
-from ridgecourse.core.target_states import TargetState, TargetStates
-from ridgecourse.core.targets import ListedTarget
+from ridgecourse.core.target_list import ListedTarget
+from ridgecourse.core.target_states import TargetHealth, TargetHealthTable
 from ridgecourse.core.weights import FIRST_VERSION
 from ridgecourse.gateway.limit_watch import LimitWatch
-from ridgecourse.gateway.loads import LoadWatcher
-from ridgecourse.gateway.messages import CallerRequest
+from ridgecourse.gateway.load_watcher import LoadWatcher
+from ridgecourse.gateway.messages import ClientRequest
 from ridgecourse.net.clock import boottime
 
 PLAIN_REQUEST_SECONDS = 0.06
@@ -62,14 +62,14 @@
     Attributes:
         target: The target.
         wait: Estimated seconds until the request would start at the target.
-        reading: Estimated seconds in which the target processes the prompt.
+        prefill_time: Estimated seconds in which the target processes the prompt.
         terms: Weights on which the request may run.
         hold: Seconds until the target's rate limit allows the request.
     """
 
     target: ListedTarget
     wait: float
-    reading: float
+    prefill_time: float
     terms: VersionTerms
     hold: float = 0.0
 
@@ -84,7 +84,7 @@
         lag: Recent peak delay of timers in this process.
         limit_watch: Tracks the rate limits that targets report.
         random: Spreads requests among similar targets.
-        delays: Delay of first events beyond the estimates, by service.
+        first_event_delays: Delay of first events beyond the estimates, by service.
         states: Health observed for each target.
     """
 
@@ -103,31 +103,33 @@
         self.lag = lag
         self.limit_watch = limit_watch
         self.random = random
-        self.delays: dict[ServiceName, FirstEventDelay] = defaultdict(FirstEventDelay)
-        self.states = TargetStates()
+        self.first_event_delays: dict[ServiceName, FirstEventDelay] = defaultdict(
+            FirstEventDelay
+        )
+        self.states = TargetHealthTable()
 
-    def state(self, target: ListedTarget) -> TargetState:
+    def state(self, target: ListedTarget) -> TargetHealth:
         """Return the observed health of a target's latest incarnation."""
-        return self.states.of(self.life(target))
+        return self.states.value_of(self.incarnation(target))
 
-    def life(self, target: ListedTarget) -> EngineLife:
+    def incarnation(self, target: ListedTarget) -> EngineIncarnation:
         """Return the latest incarnation of a target."""
-        return self.load_watcher.life(target)
+        return self.load_watcher.incarnation(target)
 
     def load(self, target: ListedTarget) -> EngineLoad:
         """Return the known load of a target."""
         return self.load_watcher.load(target)
 
-    def fill(self, target: ListedTarget, now: Seconds) -> float:
+    def occupancy(self, target: ListedTarget, now: Seconds) -> float:
         """Return the number of requests at a target as a share of its slots."""
-        return self.load(target).requests(now, SENDERS) / max(1, target.slots)
+        return self.load(target).requests(now, ASSUMED_SENDERS) / max(1, target.slots)
 
     def choose(
         self,
         service: Service,
-        call: CallerRequest,
-        tried: Collection[EngineLife],
-        avoided: Collection[EngineLife] = (),
+        call: ClientRequest,
+        tried: Collection[EngineIncarnation],
+        avoided: Collection[EngineIncarnation] = (),
     ) -> Choice | None:
         """Return the target for a request, or None if there is none.
 
@@ -143,11 +145,11 @@
         now = boottime()
         eligible = [
             target
-            for target in self.view.serving(service.name)
-            if not (tried and self.life(target) in tried)
+            for target in self.view.serving_targets(service.name)
+            if not (tried and self.incarnation(target) in tried)
             and self._can_serve(service, target, now)
         ]
-        choices = [self._weigh(service, call, target, now) for target in eligible]
+        choices = [self._estimate(service, call, target, now) for target in eligible]
         choices = [choice for choice in choices if not self._is_outdated(choice, now)]
         admissible = [
             choice for choice in choices if choice.hold <= MAX_LIMIT_DELAY_SECONDS
@@ -161,7 +163,9 @@
         choices = current or choices
         if avoided:
             not_avoided = [
-                choice for choice in choices if self.life(choice.target) not in avoided
+                choice
+                for choice in choices
+                if self.incarnation(choice.target) not in avoided
             ]
             choices = not_avoided or choices
         available = [
@@ -184,9 +188,9 @@
             return load.status.version > 0 and not load.status.busy
         # The list describes an earlier incarnation, whose weights a new incarnation
         # lacks.
-        return not target.life.is_before(self.life(target)) and target.holds_model(
-            service.engine.layers
-        )
+        return not target.incarnation.precedes(
+            self.incarnation(target)
+        ) and target.holds_model(service.engine.layers)
 
     def _is_outdated(self, choice: Choice, now: Seconds) -> bool:
         """Check whether an engine has just reported weights that are too old.
@@ -200,17 +204,17 @@
             return False
         return load.is_fresh(now) and load.status.version != choice.terms.version
 
-    def _weigh(
-        self, service: Service, call: CallerRequest, target: ListedTarget, now: Seconds
+    def _estimate(
+        self, service: Service, call: ClientRequest, target: ListedTarget, now: Seconds
     ) -> Choice:
         load = self.load(target)
         reading = 0.0
-        hold = self.limit_watch.wait(target, self.life(target))
+        hold = self.limit_watch.wait(target, self.incarnation(target))
         if service.engine is None:
             wait = load.outstanding * PLAIN_REQUEST_SECONDS / max(1, target.slots)
         else:
-            wait = load.wait(service.engine, target.slots, now, SENDERS)
-            reading = prompt_seconds(service.engine, call.prompt_tokens)
+            wait = load.wait(service.engine, target.slots, now, ASSUMED_SENDERS)
+            reading = prefill_seconds(service.engine, call.prompt_tokens)
         terms = self._version_terms(call.model, target, now, wait)
         return Choice(target, max(wait, hold), reading, terms, hold)
 
@@ -232,7 +236,7 @@
         load = self.load(target)
         if load.status is not None and load.is_fresh(now):
             return load.status.version
-        if target.life.is_before(self.life(target)):
+        if target.incarnation.precedes(self.incarnation(target)):
             return None
         return target.models.get(model)
 
@@ -247,15 +251,18 @@
         """
         held = self._held_version(model, target, now)
         # An engine of which nothing is known may have the oldest weights.
-        bound = self.view.history(model).begin_by(held or FIRST_VERSION)
+        bound = self.view.history(model).start_deadline(held or FIRST_VERSION)
         if bound is None:
             return VersionTerms(held, None, None)
         network_delay = max(
-            self.state(target).ways.expect(now), self.load(target).way(now)
+            self.state(target).network_delays.decayed_peak(now),
+            self.load(target).network_delay(now),
         )
-        begin_by = TakeBack(network_delay, self.lag.expect(now)).begin_by(bound)
-        delay = self.delays[target.service].expect(now)
-        if may_wait(now, wait, delay, begin_by):
+        begin_by = WithdrawalDelays(
+            network_delay, self.lag.decayed_peak(now)
+        ).start_deadline(bound)
+        delay = self.first_event_delays[target.service].expected_delay(now)
+        if can_start_in_time(now, wait, delay, begin_by):
             return VersionTerms(held, None, begin_by)
         return VersionTerms(held, self.view.wanted_version(model), None)
 
--- a/src/ridgecourse/gateway/sender.py
+++ b/src/ridgecourse/gateway/sender.py
@@ -4,6 +4,9 @@
 
 from msgspec import Struct
 
+from ridgecourse.core.crash_reports import (
+    Flight,
+)
 from ridgecourse.core.engine_load import EngineLoad
 from ridgecourse.core.ids import (
     AccountName,
@@ -13,15 +16,18 @@
 )
 from ridgecourse.core.outcome import Reason
 from ridgecourse.core.recent_peak import RecentPeak
-from ridgecourse.core.suspect import (
-    Flight,
-)
-from ridgecourse.core.targets import ListedTarget
-from ridgecourse.gateway.messages import AnswerHead, CallerRequest, SendTerms
+from ridgecourse.core.target_list import ListedTarget
+from ridgecourse.gateway.event_stream import StreamEvent, split_events
+from ridgecourse.gateway.messages import AnswerHead, ClientRequest, SendTerms
 from ridgecourse.gateway.protocol import RequestProtocol
-from ridgecourse.gateway.relay import StreamEvent, split_events
 from ridgecourse.net.clock import boottime
-from ridgecourse.net.exchange import Broken, Disconnected, Exchange, NotSent, TooLate
+from ridgecourse.net.exchange import (
+    Exchange,
+    ExchangeBroken,
+    ExchangeTimeout,
+    NotSent,
+    TargetDisconnected,
+)
 
 CONNECT_TIMEOUT_SECONDS = 0.3
 """Longest wait for a connection: some 30 round trips between the farthest failure
@@ -50,7 +56,7 @@
         is_abandoned: Returns whether the client has disconnected.
     """
 
-    call: CallerRequest
+    call: ClientRequest
     body: bytes | None
     account: AccountName | None
     deadline: Seconds
@@ -105,7 +111,7 @@
 
     Attributes:
         head: Head of the answer.
-        events: All events of the answer; raises ``Broken`` if the stream is
+        events: All events of the answer; raises ``ExchangeBroken`` if the stream is
             interrupted.
         exchange: Connection of the stream; the reader of the events closes it.
         load: Load of the incarnation that sends the stream; counts the request until
@@ -153,11 +159,11 @@
             result = self._exchange(exchange, routed, target, on_head)
         except NotSent as error:
             result = NotRun(Reason.UNREACHABLE, str(error), arrived=False)
-        except TooLate as error:
+        except ExchangeTimeout as error:
             result = Unknown(str(error), late=True)
-        except Disconnected as error:
+        except TargetDisconnected as error:
             result = Unknown(str(error), late=False, disconnected=True)
-        except Broken as error:
+        except ExchangeBroken as error:
             result = Unknown(str(error), late=False)
         finally:
             if isinstance(result, (NotRun, Whole)):
@@ -169,7 +175,7 @@
     def _connect(self, exchange: Exchange, network_delay: RecentPeak) -> float:
         """Connect; return the seconds by which connecting took longer than expected."""
         started_at = boottime()
-        expected = network_delay.expect(started_at)
+        expected = network_delay.decayed_peak(started_at)
         try:
             exchange.connect(min(CONNECT_TIMEOUT_SECONDS, exchange.remaining()))
         finally:
--- a/src/ridgecourse/gateway/left_versions.py
+++ b/src/ridgecourse/gateway/skipped_versions.py
@@ -5,7 +5,7 @@
 """
 
 from ridgecourse.cluster.view import ClusterView
-from ridgecourse.core.draw_order import Draw, goes_first
+from ridgecourse.core.fetch_order import PendingFetch, is_fetched_first
 from ridgecourse.core.ids import Seconds, WeightsVersion
 from ridgecourse.exchange.catalogue import Catalogue, VersionKey
 from ridgecourse.net.clock import boottime
@@ -31,18 +31,18 @@
 
     def is_skipped(self, key: VersionKey) -> bool:
         """Check whether a version is to be skipped, and record a positive result."""
-        if key in self.catalogue.left:
+        if key in self.catalogue.skipped:
             return True
         history = self.view.history(key[0])
         newest = key[0], history.newest
-        if not history.required(boottime()) < key[1] < newest[1]:
+        if not history.required_version(boottime()) < key[1] < newest[1]:
             # Some engines may have no other version, or no newer version exists.
             return False
         if self._is_complete(key) or newest not in self.catalogue.holdings:
             return False
         if self.takes_precedence(key, newest) is not False:
             return False
-        self.catalogue.left.add(key)
+        self.catalogue.skipped.add(key)
         self.events.emit(
             EventKind.ROLLOUT_DROPPED, version=str(key[1]), newer=str(newest[1])
         )
@@ -52,14 +52,14 @@
         """Check whether an older version is fetched first; return None if unknown."""
         history, fetches = self.view.history(older[0]), []
         for key in (older, newer):
-            seconds = self.draw_seconds(key)
-            bound = history.begin_by(WeightsVersion(key[1] - 1))
+            seconds = self.fetch_seconds(key)
+            bound = history.start_deadline(WeightsVersion(key[1] - 1))
             if seconds is None or bound is None:
                 return None
-            fetches.append(Draw(seconds, bound))
-        return goes_first(fetches[0], fetches[1], Seconds(boottime()))
+            fetches.append(PendingFetch(seconds, bound))
+        return is_fetched_first(fetches[0], fetches[1], Seconds(boottime()))
 
-    def draw_seconds(self, key: VersionKey) -> float | None:
+    def fetch_seconds(self, key: VersionKey) -> float | None:
         """Return the minimum time to fetch the missing chunks in seconds, if known."""
         holding, config = self.catalogue.holdings.get(key), self.view.config
         origin = config.origin if config is not None else None
--- a/src/ridgecourse/gateway/stream_relay.py
+++ b/src/ridgecourse/gateway/stream_relay.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Callable, Iterator
 
-from ridgecourse.core.engine_life import EngineLife
+from ridgecourse.core.engine_incarnation import EngineIncarnation
 from ridgecourse.core.outcome import Outcome
 from ridgecourse.gateway.dispatcher import Dispatcher
-from ridgecourse.gateway.messages import CallerRequest
-from ridgecourse.gateway.relay import StreamEvent
+from ridgecourse.gateway.event_stream import StreamEvent
+from ridgecourse.gateway.messages import ClientRequest
 from ridgecourse.gateway.sender import RoutedRequest, Stream
 from ridgecourse.gateway.terms import Terms
-from ridgecourse.net.exchange import Broken, Disconnected, TooLate
+from ridgecourse.net.exchange import ExchangeBroken, ExchangeTimeout, TargetDisconnected
 from ridgecourse.net.front_server import FrontRequest
 
 
@@ -28,7 +28,7 @@
     def __init__(
         self,
         dispatcher: Dispatcher,
-        on_end: Callable[[CallerRequest, Outcome, str, int | None], None],
+        on_end: Callable[[ClientRequest, Outcome, str, int | None], None],
     ) -> None:
         self.dispatcher = dispatcher
         self.on_end = on_end
@@ -38,7 +38,7 @@
         request: FrontRequest,
         routed: RoutedRequest,
         terms: Terms,
-        tried: set[EngineLife],
+        tried: set[EngineIncarnation],
         stream: Stream,
     ) -> Iterator[bytes]:
         """Yield a stream's events, resumed at another target after an interruption.
@@ -49,14 +49,14 @@
         call = routed.call
         outcome, why = Outcome.UNKNOWN, "caller gone"
         try:
-            with request.watched():
+            with request.cancel_on_disconnect():
                 while True:
                     try:
                         for event in self._new_events(routed, stream):
                             yield event.data
                         outcome, why = Outcome.COMPLETED, "stream complete"
                         return
-                    except Broken as error:
+                    except ExchangeBroken as error:
                         why = f"stream interrupted: {error}"
                         resumed = self._resume(routed, terms, tried, error)
                     if resumed is None:
@@ -78,10 +78,10 @@
                     routed.last_event = event.number
                 yield event
             if stream.flight is not None:
-                self.dispatcher.crash_watch.note_success(stream.flight)
-        except Disconnected:
+                self.dispatcher.crash_watch.record_success(stream.flight)
+        except TargetDisconnected:
             if stream.flight is not None:
-                self.dispatcher.crash_watch.note_disconnect(stream.flight)
+                self.dispatcher.crash_watch.record_disconnect(stream.flight)
             raise
         finally:
             if stream.load is not None:
@@ -91,10 +91,14 @@
             stream.exchange.close()
 
     def _resume(
-        self, routed: RoutedRequest, terms: Terms, tried: set[EngineLife], error: Broken
+        self,
+        routed: RoutedRequest,
+        terms: Terms,
+        tried: set[EngineIncarnation],
+        error: ExchangeBroken,
     ) -> Stream | None:
         """Return the rest of a stream from another target; None if impossible."""
-        if not terms.route.resumable or isinstance(error, TooLate):
+        if not terms.route.resumable or isinstance(error, ExchangeTimeout):
             return None
         result = self.dispatcher.try_targets(routed, terms, tried)
         return result if isinstance(result, Stream) else None
--- a/src/ridgecourse/gateway/terms.py
+++ b/src/ridgecourse/gateway/terms.py
@@ -7,7 +7,7 @@
 
 from ridgecourse.core.ids import ServiceName
 from ridgecourse.core.routes import Account, Route, RoutingConfig, Service
-from ridgecourse.gateway.messages import CallerRequest
+from ridgecourse.gateway.messages import ClientRequest
 
 
 class Terms(Struct, frozen=True):
@@ -38,7 +38,7 @@
 
 
 def find_terms(
-    call: CallerRequest, config: RoutingConfig, random: Random
+    call: ClientRequest, config: RoutingConfig, random: Random
 ) -> Result[Terms, Rejection]:
     """Return the terms of a request, or the reason for a rejection.
 
--- a/src/ridgecourse/loader/early_staging.py
+++ b/src/ridgecourse/loader/early_staging.py
@@ -5,7 +5,7 @@
 import eventlet
 
 from ridgecourse.exchange.holding import Holding
-from ridgecourse.loader.protocol import EngineUnavailable
+from ridgecourse.loader.engine_control import EngineUnavailable
 from ridgecourse.loader.staging import Staging
 
 POLL_SECONDS = 0.5
@@ -67,7 +67,7 @@
 
     def _stage_new(self) -> None:
         """Stage the chunks that arrived since the last call, if staging is allowed."""
-        for index, place in enumerate(self.holding.manifest.chunk_places()):
+        for index, place in enumerate(self.holding.manifest.chunk_locations()):
             if self.is_closing or not self.may_stage():
                 return
             if index not in self.staged and self.staging.has_chunk(place.digest):
--- a/src/ridgecourse/loader/protocol.py
+++ b/src/ridgecourse/loader/engine_control.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 
 from ridgecourse.core.ids import EngineStart, ModelName, WeightsVersion
-from ridgecourse.core.targets import HeldLayers
+from ridgecourse.core.target_list import HeldLayers
 
 
 class EngineUnavailable(Exception):
--- a/src/ridgecourse/loader/gateways.py
+++ b/src/ridgecourse/loader/known_gateways.py
@@ -107,7 +107,7 @@
                 "GET", seed, GATEWAYS_PATH, timeout=ANSWER_TIMEOUT_SECONDS
             )
         except (NoConnection, ExchangeFailed) as error:
-            self.events.figures.count("seed_unanswered")
+            self.events.metrics.count("seed_unanswered")
             self.events.emit(EventKind.SEED_LOST, peer=seed, why=str(error))
             return []
         decoded = decode_message(data, list[Peer])
--- a/src/ridgecourse/loader/latest_life.py
+++ b/src/ridgecourse/loader/latest_incarnation.py
@@ -1,8 +1,8 @@
 """Engine control that discards reports of earlier incarnations of the engine."""
 
-from ridgecourse.core.engine_life import is_before
+from ridgecourse.core.engine_incarnation import starts_before
 from ridgecourse.core.ids import EngineStart, ModelName, WeightsVersion
-from ridgecourse.loader.protocol import (
+from ridgecourse.loader.engine_control import (
     EngineControl,
     EngineReport,
     EngineUnavailable,
@@ -36,9 +36,9 @@
         except InvalidReport as error:
             self._record_invalid(str(error))
             raise
-        if is_before(report.started, self.started):
+        if starts_before(report.started, self.started):
             raise EngineUnavailable("an earlier incarnation of the engine answered")
-        if is_before(self.started, report.started):
+        if starts_before(self.started, report.started):
             self.events.emit(EventKind.ENGINE_RESTARTED, started=report.started)
         if report.started is not None:
             self.started = report.started
@@ -46,7 +46,7 @@
 
     def _record_invalid(self, error: str) -> None:
         """Count a report that cannot be decoded; log its error once if it repeats."""
-        self.events.figures.count("engine_reports_invalid")
+        self.events.metrics.count("engine_reports_invalid")
         if error != self.logged_error:
             self.logged_error = error
             self.events.emit(EventKind.BAD_INPUT, error=error)
--- a/src/ridgecourse/loader/loader.py
+++ b/src/ridgecourse/loader/loader.py
@@ -6,8 +6,8 @@
 from ridgecourse.cluster.domain_source import StoreRecords, open_view
 from ridgecourse.cluster.relay import RecordRelay
 from ridgecourse.cluster.tree_reader import Neighbours
-from ridgecourse.core.fetches import Member, PlanPolicy
-from ridgecourse.core.hubs import Peer, nearest_first, seed_peers
+from ridgecourse.core.fetch_types import Member, PlanPolicy
+from ridgecourse.core.hubs import Peer, make_seed_addresses, nearest_first
 from ridgecourse.core.ids import TargetName
 from ridgecourse.core.read_tree import loader_parent
 from ridgecourse.core.site import Site
@@ -15,15 +15,15 @@
 from ridgecourse.exchange.origin import WeightsOrigin
 from ridgecourse.exchange.server import Exchange
 from ridgecourse.exchange.store import ChunkStore
-from ridgecourse.loader.gateways import KnownGateways
-from ridgecourse.loader.latest_life import LatestIncarnation
-from ridgecourse.loader.protocol import EngineControl
+from ridgecourse.loader.engine_control import EngineControl
+from ridgecourse.loader.known_gateways import KnownGateways
+from ridgecourse.loader.latest_incarnation import LatestIncarnation
 from ridgecourse.loader.rollout import Rollout
 from ridgecourse.loader.status import StatusFeed
 from ridgecourse.net.address import Address
 from ridgecourse.net.datagrams import DatagramSocket
 from ridgecourse.net.events import EventKind, EventStream
-from ridgecourse.net.figures import FiguresServer
+from ridgecourse.net.figures import MetricsServer
 from ridgecourse.net.http_client import HttpClient
 from ridgecourse.net.http_server import HttpRouter, HttpServer
 from ridgecourse.net.metrics import Metrics
@@ -49,7 +49,7 @@
 UPLOAD_QUEUE = 6
 """Number of chunk requests that may wait for an upload slot: a chunk takes some 50 ms,
 less than the pause of a refused loader before its next request."""
-FETCHES = 2
+MAX_CONCURRENT_FETCHES = 2
 """Concurrent fetches: enough to keep the link busy, and few enough that little data is
 queued when the link's bandwidth drops."""
 FIRST_MESSAGE_SECONDS = 2.0
@@ -71,7 +71,7 @@
         events = EventStream(site.process, new_incarnation(), site.domain)
         super().__init__(site, events)
         control_port, chunk_port = site.peer_ports[0], site.peer_ports[0] + 1
-        seeds = seed_peers(site.seeds, chunk_port)
+        seeds = make_seed_addresses(site.seeds, chunk_port)
         self.location = Peer(TargetName(site.host), site.domain, "", "")
         store = StoreRecords(source, decoder)
         pace = ReadPace(
@@ -79,7 +79,7 @@
         )
         self.view = open_view(site, store, self, self.events, pace)
         self.context = ExchangeContext(
-            me=Member(TargetName(site.host), site.domain),
+            local=Member(TargetName(site.host), site.domain),
             events=self.events,
             metrics=Metrics(site.process, None),
             http=http,
@@ -88,7 +88,7 @@
                 upload_bytes_per_s=site.upload_bytes_per_s * WEIGHTS_LINK_SHARE,
                 upload_queue=UPLOAD_QUEUE,
             ),
-            plan=PlanPolicy(fetches=FETCHES),
+            plan=PlanPolicy(fetches=MAX_CONCURRENT_FETCHES),
             rate=AdaptiveRate(site.upload_bytes_per_s * WEIGHTS_LINK_SHARE),
             source=site.host,
             digest=sha256_digest,
@@ -112,10 +112,10 @@
         self.router = HttpRouter()
         self.exchange.add_routes(self.router)
         self.rollout.catalogue.add_routes(self.router)
-        self.view.share.add_routes(self.router)
+        self.view.record_server.add_routes(self.router)
         self.relay = RecordRelay(self.view, http, self.record_peers, self.events)
         self.http_server = HttpServer(Address(site.host, chunk_port), self.router)
-        self.figures = FiguresServer(site.host, self.events.figures)
+        self.figures = MetricsServer(site.host, self.events.metrics)
         self.control_server = ControlServer(
             Address(site.host, control_port), "", self.handle_channel
         )
@@ -146,9 +146,9 @@
         if first is None:
             raise ChannelClosed("no first message")
         if isinstance(first, Follow):
-            self.exchange.tell_holdings(channel, first)
+            self.exchange.announce_holdings(channel, first)
         else:
-            self.feed.tell(channel, first)
+            self.feed.serve_watcher(channel, first)
 
     def known_gateways(self) -> Collection[Peer]:
         """Return the gateways that are currently known."""
@@ -168,12 +168,12 @@
         ports = self.rollout.chunk_port, self.rollout.control_port
         loaders = self.rollout.other_loaders()
         known = nearest_first([*self.gateways, *loaders.values()], self.location)
-        seeds = seed_peers(self.site.seeds, ports[0])
+        seeds = make_seed_addresses(self.site.seeds, ports[0])
         return list(dict.fromkeys([*known, *seeds]))
 
-    def take_bounds(self) -> None:
+    def apply_limits(self) -> None:
         """Apply the operators' limits from the current settings."""
-        self.view.take_version_bound(self.site.bounds.version_seconds)
+        self.view.set_version_bound(self.site.bounds.version_seconds)
 
     def drain(self) -> None:
         """Announce the shutdown.
--- a/src/ridgecourse/loader/rollout.py
+++ b/src/ridgecourse/loader/rollout.py
@@ -14,9 +14,9 @@
 from ridgecourse.cluster.view import ClusterView
 from ridgecourse.core.hubs import Peer, choose_hubs, loader_peers
 from ridgecourse.core.ids import Seconds, TargetName, WeightsVersion
-from ridgecourse.core.routes import EngineModel, OriginPlace
+from ridgecourse.core.routes import EngineModel, OriginLocation
 from ridgecourse.core.site import Site
-from ridgecourse.core.supersession import start_wait
+from ridgecourse.core.supersession import switch_wait
 from ridgecourse.exchange.catalogue import Catalogue, VersionKey
 from ridgecourse.exchange.context import ExchangeContext
 from ridgecourse.exchange.holding import Holding
@@ -24,8 +24,7 @@
 from ridgecourse.exchange.server import Exchange
 from ridgecourse.exchange.transfer import Transfer, TransferError
 from ridgecourse.loader.early_staging import EarlyStaging
-from ridgecourse.loader.gateways import KnownGateways
-from ridgecourse.loader.protocol import (
+from ridgecourse.loader.engine_control import (
     EngineControl,
     EngineReport,
     EngineUnavailable,
@@ -34,6 +33,7 @@
     StagingUnanswered,
     StartOrder,
 )
+from ridgecourse.loader.known_gateways import KnownGateways
 from ridgecourse.loader.service_engines import ServiceEngines
 from ridgecourse.loader.staging import StagedVersion, Staging
 from ridgecourse.loader.transfer_watch import TransferOwner, TransferWatch
@@ -179,7 +179,7 @@
         )
 
     def _prefetch(
-        self, key: VersionKey, origin_place: OriginPlace, error: str
+        self, key: VersionKey, origin_place: OriginLocation, error: str
     ) -> float:
         """Fetch a version's chunks while the engine is unavailable."""
         holding = self.catalogue.holdings.get(key)
@@ -191,7 +191,7 @@
             self.is_prefetching = False
         return BUSY_POLL_SECONDS
 
-    def find_model(self) -> tuple[EngineModel, OriginPlace] | None:
+    def find_model(self) -> tuple[EngineModel, OriginLocation] | None:
         """Return the engine's model and its origin; None if the config lacks them."""
         config = self.view.config
         if config is None or config.origin is None:
@@ -281,7 +281,7 @@
             self.exchange.join(holding)
 
     def _fetch_and_start(
-        self, key: VersionKey, origin_place: OriginPlace, report: EngineReport
+        self, key: VersionKey, origin_place: OriginLocation, report: EngineReport
     ) -> float:
         """Fetch, stage and start a version; return the wait until the next step."""
         staging = Staging(self.context, self.engine, key[0])
@@ -291,7 +291,7 @@
         return self._stage_and_start(key, holding, staging, report)
 
     def _fetch_version(
-        self, key: VersionKey, origin_place: OriginPlace, staging: Staging | None
+        self, key: VersionKey, origin_place: OriginLocation, staging: Staging | None
     ) -> Holding | None:
         """Fetch a version's missing chunks.
 
@@ -332,7 +332,7 @@
         if hubs:
             # Even if the manifest is known, the hub may be new and may not have started
             # to fetch the version. The request makes the hub start.
-            eventlet.spawn(self.catalogue.ask, sorted_peers[0], key)
+            eventlet.spawn(self.catalogue.fetch_manifest, sorted_peers[0], key)
         origin = self.origin.chunks(origin_place.address, *key)
         needed, domain = partial(self.is_needed, key), origin_place.domain
         transfer = Transfer(
@@ -353,7 +353,7 @@
     def is_required(self, key: VersionKey) -> bool:
         """Check whether requests may not be started on versions older than this one."""
         history = self.view.history(key[0])
-        return history.required(boottime()) >= key[1]
+        return history.required_version(boottime()) >= key[1]
 
     def _run_transfer(self, key: VersionKey, transfer: Transfer) -> bool:
         """Run a transfer; return whether the version is complete."""
@@ -409,11 +409,11 @@
         if layers is None:
             return 0.0
         history = self.view.history(key[0])
-        bound, newer_bound = map(history.begin_by, (layers.version, key[1]))
+        bound, newer_bound = map(history.start_deadline, (layers.version, key[1]))
         now = boottime()
         complete_since = self.complete_since.setdefault(key, now)
         turn = self.engines.turn_fraction(key)
-        return start_wait(bound, newer_bound, now, complete_since, turn)
+        return switch_wait(bound, newer_bound, now, complete_since, turn)
 
     def _order_start(
         self, key: VersionKey, repaired: int, report: EngineReport
--- a/src/ridgecourse/loader/service_engines.py
+++ b/src/ridgecourse/loader/service_engines.py
@@ -5,7 +5,7 @@
 from ridgecourse.cluster.view import ClusterView
 from ridgecourse.core.rendezvous import rendezvous_rank
 from ridgecourse.core.site import Site
-from ridgecourse.core.targets import ListedTarget
+from ridgecourse.core.target_list import ListedTarget
 from ridgecourse.exchange.catalogue import VersionKey
 
 EARLY_START_SHARE = 0.5
--- a/src/ridgecourse/loader/staging.py
+++ b/src/ridgecourse/loader/staging.py
@@ -7,7 +7,7 @@
 from ridgecourse.core.ids import ChunkDigest, EngineStart, ModelName, RootDigest
 from ridgecourse.core.manifest import Manifest
 from ridgecourse.exchange.context import ExchangeContext
-from ridgecourse.loader.protocol import (
+from ridgecourse.loader.engine_control import (
     EngineControl,
     EngineUnavailable,
     StagingUnanswered,
@@ -51,7 +51,7 @@
             EngineUnavailable: The engine gave no usable answer.
         """
         loaded = 0
-        for index, place in enumerate(manifest.chunk_places()):
+        for index, place in enumerate(manifest.chunk_locations()):
             if self.context.store.get(place.digest) is not None:
                 continue
             data = self.engine.staged(self.model, index)
@@ -78,7 +78,7 @@
 
     def _invalid_indexes(self, manifest: Manifest) -> Iterator[int]:
         """Yield the indexes of chunks that are missing or corrupt."""
-        for index, place in enumerate(manifest.chunk_places()):
+        for index, place in enumerate(manifest.chunk_locations()):
             data = self.engine.staged(self.model, index)
             if data is None or self.context.digest(data) != place.digest:
                 yield index
--- a/src/ridgecourse/loader/status.py
+++ b/src/ridgecourse/loader/status.py
@@ -9,18 +9,18 @@
 import eventlet
 from msgspec import Struct
 
-from ridgecourse.core.engine_load import EngineStatus, UnreadEstimate
+from ridgecourse.core.engine_load import EngineStatus, PrefillBacklogEstimate
 from ridgecourse.core.hubs import Peer
 from ridgecourse.core.ids import EngineStart, Seconds, WeightsVersion
 from ridgecourse.core.report_rate import (
     NEAR_INTERVAL_SECONDS,
+    differs_from_reported,
     heartbeat_interval,
     report_interval,
-    tells_more,
 )
-from ridgecourse.loader.gateways import KnownGateways
-from ridgecourse.loader.protocol import EngineControl, EngineUnavailable
-from ridgecourse.loader.protocol import EngineReport as LocalReport
+from ridgecourse.loader.engine_control import EngineControl, EngineUnavailable
+from ridgecourse.loader.engine_control import EngineReport as LocalReport
+from ridgecourse.loader.known_gateways import KnownGateways
 from ridgecourse.loader.rollout import Rollout
 from ridgecourse.net.address import Address, parse_address
 from ridgecourse.net.broadcast import Broadcast
@@ -28,7 +28,7 @@
 from ridgecourse.net.datagrams import DatagramSocket
 from ridgecourse.net.threads import spawn_loop
 from ridgecourse.net.websocket import ChannelClosed, ControlChannel
-from ridgecourse.wire.control import EngineReport, GatewaysChanged, Named, Watch
+from ridgecourse.wire.control import EngineReport, GatewaysChanged, VersionAges, Watch
 
 CROWDED_POLL_SECONDS = NEAR_INTERVAL_SECONDS
 """Poll interval of an engine whose batch is at least half full, in seconds.
@@ -40,7 +40,7 @@
 """Share of batch slots in use from which the engine is polled more often."""
 IDLE_POLL_SECONDS = 0.4
 """Poll interval of an idle or unavailable engine, in seconds."""
-UNCHANGED_SECONDS = 0.9
+UNCHANGED_REPORT_SECONDS = 0.9
 """Interval of reports of an unchanged load, in seconds: gateways treat a report as out
 of date after 1.5 s."""
 CHANGE_INTERVAL_SECONDS = 0.25
@@ -99,7 +99,7 @@
         self.gateways = gateways
         self.reports = reports
         self.watchers: list[Watcher] = []
-        self.unread = UnreadEstimate()
+        self.unread = PrefillBacklogEstimate()
         self.started: EngineStart | None = None
         self.number = 0
         self.change = 0
@@ -131,7 +131,7 @@
             self.status = None
             return IDLE_POLL_SECONDS
         self.status = status
-        self._report(status, boottime())
+        self._send_reports(status, boottime())
         if status.active + status.queued >= CROWDED_SHARE * self._engine_slots():
             return CROWDED_POLL_SECONDS
         return BUSY_POLL_SECONDS if status.active or status.busy else IDLE_POLL_SECONDS
@@ -153,9 +153,9 @@
             active=report.active,
             cache_used=report.cache_used,
             cache_total=report.cache_total,
-            pace=report.pace,
-            link=self._link_share(),
-            unread=self._estimate_unread(report),
+            slowdown=report.pace,
+            link_share=self._link_share(),
+            prefill_backlog=self._estimate_unread(report),
             started=report.started,
         )
 
@@ -171,9 +171,9 @@
             return 0.0
         if report.started != self.started:
             # The prompts were lost with the earlier incarnation of the engine.
-            self.started, self.unread = report.started, UnreadEstimate()
+            self.started, self.unread = report.started, PrefillBacklogEstimate()
         requests = report.queued + report.active
-        return self.unread.look(configured[0], requests, boottime())
+        return self.unread.update(configured[0], requests, boottime())
 
     def _link_share(self) -> float:
         """Return the instance's link rate as a share of its usual rate.
@@ -185,9 +185,9 @@
             return 1.0
         return round(rate.current / rate.limit, 1)
 
-    def _report(self, status: EngineStatus, now: Seconds) -> None:
+    def _send_reports(self, status: EngineStatus, now: Seconds) -> None:
         """Send the load to every watcher whose report is due."""
-        if tells_more(self.announced, self.announced_at, status, now):
+        if differs_from_reported(self.announced, self.announced_at, status, now):
             self.change += 1
             self.announced, self.announced_at = status, now
         due = list(self._due_addresses(now))
@@ -206,12 +206,14 @@
             # An unchanged load is reported as well, so that it does not become out of
             # date.
             is_current = watcher.change == self.change
-            interval = UNCHANGED_SECONDS if is_current else intervals[watcher.near]
+            interval = (
+                UNCHANGED_REPORT_SECONDS if is_current else intervals[watcher.near]
+            )
             if now - watcher.announced_at >= interval * DUE_SHARE:
                 watcher.announced_at, watcher.change = now, self.change
                 yield watcher.address
 
-    def tell(self, channel: ControlChannel, watch: Watch) -> None:
+    def serve_watcher(self, channel: ControlChannel, watch: Watch) -> None:
         """Serve a watching gateway until it disconnects.
 
         Args:
@@ -228,7 +230,7 @@
         watcher = Watcher(address, watch.near)
         self.watchers.append(watcher)
         self._record_connection(watch.gateway, +1)
-        channel.send(Named(list(self.rollout.view.version_ages())))
+        channel.send(VersionAges(list(self.rollout.view.version_ages())))
         try:
             if watch.hears_gateways:
                 self._announce_gateways(channel, heartbeat_interval(watch.near))
--- a/src/ridgecourse/loader/transfer_watch.py
+++ b/src/ridgecourse/loader/transfer_watch.py
@@ -12,26 +12,26 @@
 from ridgecourse.cluster.view import ClusterView
 from ridgecourse.core.hubs import Peer, choose_hubs
 from ridgecourse.core.ids import Seconds, WeightsVersion
-from ridgecourse.core.routes import EngineModel, OriginPlace
+from ridgecourse.core.routes import EngineModel, OriginLocation
 from ridgecourse.core.site import Site
 from ridgecourse.core.supersession import (
-    START_SECONDS,
+    STAGING_SECONDS,
     TransferPlan,
-    comes_first,
-    counts_as_here,
-    leaves_time,
+    allows_newer_fetch,
+    counts_as_available,
+    takes_precedence,
 )
 from ridgecourse.exchange.catalogue import Catalogue, VersionKey
 from ridgecourse.exchange.context import ExchangeContext
 from ridgecourse.exchange.holding import Holding
 from ridgecourse.exchange.transfer import Transfer
-from ridgecourse.loader.gateways import KnownGateways
-from ridgecourse.loader.protocol import (
+from ridgecourse.loader.engine_control import (
     EngineControl,
     EngineReport,
     EngineUnavailable,
     StartOrder,
 )
+from ridgecourse.loader.known_gateways import KnownGateways
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.events import EventKind
 from ridgecourse.net.threads import spawn_loop
@@ -70,7 +70,7 @@
     ordered: StartOrder | None
 
     @abstractmethod
-    def find_model(self) -> tuple[EngineModel, OriginPlace] | None:
+    def find_model(self) -> tuple[EngineModel, OriginLocation] | None:
         """Return the engine's model and its origin; None if the config lacks them."""
 
     @abstractmethod
@@ -221,19 +221,25 @@
         current, newer, now, starts_early = self._make_plans(
             key, holding, model, newest[1]
         )
-        if not comes_first(current, newer, now, starts_early, newer_here=False):
+        if not takes_precedence(
+            current, newer, now, starts_early, newer_available=False
+        ):
             return False
         share = self._share_at_hub(newest)
         wait = self.rollout.turn_wait(key, report) if holding.complete else 0.0
-        if leaves_time(wait) and share is not None:
+        if allows_newer_fetch(wait) and share is not None:
             # The version would stay unused until the engine's turn, and nothing would
             # be fetched during that time.
             return False
         if not holding.complete and not self._hub_has_more(key, holding):
             # No more chunks of the older version are available either.
             return share is None
-        return comes_first(
-            current, newer, now, starts_early, counts_as_here(current, newer, share)
+        return takes_precedence(
+            current,
+            newer,
+            now,
+            starts_early,
+            counts_as_available(current, newer, share),
         )
 
     def _poll_engine(self) -> EngineReport | None:
@@ -254,7 +260,7 @@
             self.rollout.hubs, key=lambda hub: hub.domain != self.rollout.site.domain
         )
         for hub in hubs[:1]:
-            eventlet.spawn(self.rollout.catalogue.ask, hub, key)
+            eventlet.spawn(self.rollout.catalogue.fetch_manifest, hub, key)
 
     def _hub_has_more(self, key: VersionKey, holding: Holding) -> bool:
         """Check whether the nearest hub holds more of a version than this loader."""
@@ -300,8 +306,8 @@
         current, newer, now, starts_early = self._make_plans(
             self._current_key(model), transfer.holding, model, newest[1]
         )
-        newer_here = counts_as_here(current, newer, share)
-        return comes_first(current, newer, now, starts_early, newer_here)
+        newer_available = counts_as_available(current, newer, share)
+        return takes_precedence(current, newer, now, starts_early, newer_available)
 
     def _make_plans(
         self,
@@ -323,11 +329,11 @@
         history = self.rollout.view.history(model.model)
         older = WeightsVersion(key[1] - 1)
         newer = TransferPlan(
-            full_seconds + START_SECONDS, history.begin_by(key[1]) or now
+            full_seconds + STAGING_SECONDS, history.start_deadline(key[1]) or now
         )
         current = TransferPlan(
-            self.rollout.transfer_seconds(holding) + START_SECONDS,
-            history.begin_by(older) or now,
+            self.rollout.transfer_seconds(holding) + STAGING_SECONDS,
+            history.start_deadline(older) or now,
         )
         return current, newer, now, self.rollout.starts_early(key)
 
--- a/src/ridgecourse/native/instances.py
+++ b/src/ridgecourse/native/instances.py
@@ -44,7 +44,7 @@
 
     instances: tuple[Instance, ...]
 
-    def entries(self, domain: DomainName) -> tuple[Instance, ...]:
+    def live_entries(self, domain: DomainName) -> tuple[Instance, ...]:
         """Return the live instances with role "entry" in a failure domain."""
         return tuple(
             instance
--- a/src/ridgecourse/native/log.py
+++ b/src/ridgecourse/native/log.py
@@ -97,7 +97,7 @@
         self.http = http
         self.seconds = seconds
         self.exchanges = 0
-        self.moved = 0
+        self.bytes_transferred = 0
 
     def append(self, stream: Stream, records: list[bytes]) -> Offset:
         """Append records and return the offset of the first one.
@@ -147,7 +147,7 @@
             truncated=status == 410,
         )
 
-    def last(self, stream: Stream) -> bytes | None:
+    def read_newest(self, stream: Stream) -> bytes | None:
         """Return the newest record of a stream, or None if the stream is empty.
 
         Raises:
@@ -174,7 +174,7 @@
         except (NoConnection, ExchangeFailed) as error:
             raise LogUnavailable(str(error)) from error
         self.exchanges += 1
-        self.moved += len(body or b"") + len(data)
+        self.bytes_transferred += len(body or b"") + len(data)
         if status not in (200, 410):
             raise LogUnavailable(f"status {status}")
         return status, data
--- a/src/ridgecourse/native/origin.py
+++ b/src/ridgecourse/native/origin.py
@@ -7,7 +7,7 @@
 from contextlib import closing
 from urllib.parse import quote
 
-from ridgecourse.core.manifest import ChunkPlace
+from ridgecourse.core.manifest import ChunkLocation
 from ridgecourse.exchange.origin import (
     ChunkOrigin,
     OriginBusy,
@@ -43,7 +43,7 @@
         self.address = address
         self.http = http
         self.download_throttle = download_throttle
-        self.drawn = 0
+        self.received_bytes = 0
 
     def manifest(self, origin_path: str) -> bytes:
         """Return the bytes of a version's manifest.
@@ -53,7 +53,7 @@
         """
         return self._read(f"{origin_path}/{MANIFEST_NAME}", {}, MAX_MANIFEST_BYTES, 5.0)
 
-    def chunk(self, origin_path: str, place: ChunkPlace, stall: float) -> bytes:
+    def chunk(self, origin_path: str, place: ChunkLocation, stall: float) -> bytes:
         """Return the unverified bytes of a chunk.
 
         Args:
@@ -87,7 +87,7 @@
                 response.release_conn()
         except (NoConnection, ExchangeFailed) as error:
             raise OriginUnavailable(f"{path}: {error}") from error
-        self.drawn += len(data)
+        self.received_bytes += len(data)
         return data
 
 
@@ -104,11 +104,11 @@
         self.origin_path = origin_path
 
     @property
-    def drawn(self) -> int:  # type: ignore[override]
+    def received_bytes(self) -> int:  # type: ignore[override]
         """Bytes received from the origin, for all versions."""
-        return self.client.drawn
+        return self.client.received_bytes
 
-    def chunk(self, place: ChunkPlace, stall: float) -> bytes:
+    def chunk(self, place: ChunkLocation, stall: float) -> bytes:
         """Return the unverified bytes of a chunk; see ``ChunkOrigin``."""
         return self.client.chunk(self.origin_path, place, stall)
 
--- a/src/ridgecourse/net/config_store.py
+++ b/src/ridgecourse/net/config_store.py
@@ -28,7 +28,7 @@
 snapshot."""
 
 
-class Folded(NamedTuple):
+class FoldedChange(NamedTuple):
     """A change record and the outcome of folding it.
 
     Attributes:
@@ -54,9 +54,9 @@
 
     def __init__(self) -> None:
         self.state = ConfigState()
-        self.known = False
+        self.is_known = False
         self.checkpoint: CheckpointNotice | None = None
-        self.recent: deque[bytes] = deque(maxlen=MAX_RECENT_RECORDS)
+        self.recent_records: deque[bytes] = deque(maxlen=MAX_RECENT_RECORDS)
         self.changed = Broadcast()
 
     @property
@@ -64,7 +64,7 @@
         """Return the offset of the next record to fold."""
         return self.state.offset
 
-    def fold(self, first: int, records: Sequence[bytes]) -> list[Folded]:
+    def fold(self, first: int, records: Sequence[bytes]) -> list[FoldedChange]:
         """Fold records of the log, skipping records that are already folded.
 
         Args:
@@ -79,21 +79,21 @@
             return []
         fresh = records[self.offset - first :]
         folded = list(self._fold_records(fresh))
-        self.known = True
+        self.is_known = True
         if fresh:
             self.changed.notify()
         return folded
 
-    def _fold_records(self, records: Sequence[bytes]) -> Iterator[Folded]:
+    def _fold_records(self, records: Sequence[bytes]) -> Iterator[FoldedChange]:
         for data in records:
             decoded = decode_message(data, ConfigRecord)
             record = None if isinstance(decoded, Failure) else decoded.unwrap()
             outcome = self.state.apply(self.offset, record)
-            self.recent.append(data)
+            self.recent_records.append(data)
             if isinstance(record, CheckpointNotice):
                 self.checkpoint = record
             if isinstance(record, ChangeRecord) and outcome is not None:
-                yield Folded(record, outcome)
+                yield FoldedChange(record, outcome)
 
     def restore(self, snapshot: ConfigSnapshot) -> bool:
         """Replace the state by a snapshot if the snapshot is newer.
@@ -103,14 +103,14 @@
         """
         restored = self.state.restore(snapshot)
         if restored:
-            self.recent.clear()
+            self.recent_records.clear()
         if restored or snapshot.offset == self.offset:
-            self.known = True
+            self.is_known = True
         if restored:
             self.changed.notify()
         return restored
 
-    def take(self, message: ConfigRecords | ConfigFull) -> bool:
+    def apply(self, message: ConfigRecords | ConfigFull) -> bool:
         """Apply records or a snapshot from another process.
 
         Returns:
@@ -122,7 +122,7 @@
         self.fold(message.first, message.records)
         return self.offset > before
 
-    def above(self, offset: int, clock: int = 0) -> ConfigRecords | ConfigFull:
+    def updates_since(self, offset: int, clock: int = 0) -> ConfigRecords | ConfigFull:
         """Return the updates for a receiver, as records if possible.
 
         Args:
@@ -132,10 +132,10 @@
         Returns:
             The records from the offset on, or a snapshot if one of them is gone.
         """
-        oldest = self.offset - len(self.recent)
+        oldest = self.offset - len(self.recent_records)
         if offset < oldest:
             return ConfigFull(self.state.snapshot(), clock)
-        records = list(self.recent)[offset - oldest :]
+        records = list(self.recent_records)[offset - oldest :]
         return ConfigRecords(offset, records, clock)
 
     def outcome(self, change_id: ChangeId) -> ChangeOutcome | None:
--- a/src/ridgecourse/net/datagrams.py
+++ b/src/ridgecourse/net/datagrams.py
@@ -21,7 +21,7 @@
 
 logger = logging.getLogger(__name__)
 
-MAX_BYTES = 1400
+MAX_DATAGRAM_BYTES = 1400
 """Largest datagram in bytes: fits into one packet of every usual link."""
 BATCH_PAUSE_SECONDS = 0.02
 """Pause between two batches while datagrams arrive. At 200 reports a second, one
@@ -56,7 +56,7 @@
 
     def __init__(self, address: Address) -> None:
         self.address = address
-        self.refused = 0
+        self.rejected = 0
         self.socket: Any = None
 
     def start(self) -> None:
@@ -95,7 +95,7 @@
         for data, host in self._receive():
             decoded = decode_message(data, expected)
             if isinstance(decoded, Failure):
-                self.refused += 1
+                self.rejected += 1
                 continue
             yield Datagram(host, decoded.unwrap())
 
@@ -115,7 +115,7 @@
             try:
                 # Read from the underlying socket: the green socket would wait for
                 # the next datagram.
-                data, (host, _port) = self.socket.fd.recvfrom(MAX_BYTES)
+                data, (host, _port) = self.socket.fd.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except ConnectionError as error:
--- a/src/ridgecourse/net/deferred.py
+++ b/src/ridgecourse/net/deferred.py
@@ -52,7 +52,7 @@
 
 
 @contextmanager
-def deferred(modules: Mapping[str, tuple[str, ...]]) -> Iterator[None]:
+def defer_imports(modules: Mapping[str, tuple[str, ...]]) -> Iterator[None]:
     """Defer modules that are imported within the block.
 
     Modules that are already loaded are not deferred. A package keeps the placeholder
--- a/src/ridgecourse/net/events.py
+++ b/src/ridgecourse/net/events.py
@@ -14,7 +14,7 @@
 
 from ridgecourse.core.ids import DomainName, Incarnation, ProcessName
 from ridgecourse.net.clock import boottime
-from ridgecourse.net.figures import Figures
+from ridgecourse.net.figures import ProcessMetrics
 from ridgecourse.net.line_writer import LineWriter
 
 MAX_REQUEST_EVENTS_PER_SECOND = 300
@@ -151,7 +151,7 @@
         self.incarnation = incarnation
         self.domain = domain
         self.output = LineWriter()
-        self.figures = Figures()
+        self.metrics = ProcessMetrics()
         self.current_second = 0
         self.request_events_in_second = 0
         self.suppressed: Counter[str] = Counter()
@@ -176,7 +176,7 @@
 
         See ``Event`` for the arguments.
         """
-        self.figures.count(f"event_{kind.value.replace('-', '_')}")
+        self.metrics.count(f"event_{kind.value.replace('-', '_')}")
         if self._exceeds_rate_limit(kind):
             self.suppressed[kind.value] += 1
             return
--- a/src/ridgecourse/net/exchange.py
+++ b/src/ridgecourse/net/exchange.py
@@ -33,15 +33,15 @@
     """The connection could not be opened, so no byte of the request was sent."""
 
 
-class Broken(Exception):
+class ExchangeBroken(Exception):
     """The exchange failed after bytes of the request may have arrived."""
 
 
-class TooLate(Broken):
+class ExchangeTimeout(ExchangeBroken):
     """The deadline of the exchange passed."""
 
 
-class Disconnected(Broken):
+class TargetDisconnected(ExchangeBroken):
     """The target ended the connection before the answer was complete."""
 
 
@@ -113,9 +113,9 @@
                 decode_content=False,
             )
         except (HTTPError, OSError) as error:
-            raise Disconnected(f"{self.address}: {error}") from error
+            raise TargetDisconnected(f"{self.address}: {error}") from error
         except ValueError as error:
-            raise Broken(f"{self.address}: {error}") from error
+            raise ExchangeBroken(f"{self.address}: {error}") from error
 
     def receive_head(self, head_deadline: Seconds | None = None) -> BaseHTTPResponse:
         """Wait for the head of the answer.
@@ -137,13 +137,13 @@
             self.response = self.connection.getresponse()
         except TimeoutError as error:
             if wait < self.deadline - boottime():
-                raise Broken(f"{self.address}: not begun in time") from error
-            raise TooLate(f"{self.address}: no answer in time") from error
+                raise ExchangeBroken(f"{self.address}: not begun in time") from error
+            raise ExchangeTimeout(f"{self.address}: no answer in time") from error
         except ConnectionError as error:
-            raise Disconnected(f"{self.address}: {error!r}") from error
+            raise TargetDisconnected(f"{self.address}: {error!r}") from error
         except Exception as error:
             # http.client raises its own errors for a malformed answer.
-            raise Broken(f"{self.address}: {error!r}") from error
+            raise ExchangeBroken(f"{self.address}: {error!r}") from error
         return self.response
 
     def read_whole(self, limit: int) -> bytes:
@@ -179,14 +179,14 @@
             try:
                 piece = self.response.read1(READ_BYTES)
             except (TimeoutError, ReadTimeoutError) as error:
-                raise TooLate(f"{self.address}: body stalled") from error
+                raise ExchangeTimeout(f"{self.address}: body stalled") from error
             except (HTTPError, OSError) as error:
-                raise Disconnected(f"{self.address}: {error!r}") from error
+                raise TargetDisconnected(f"{self.address}: {error!r}") from error
             if not piece:
                 return
             total += len(piece)
             if total > limit:
-                raise Broken(f"{self.address}: over {limit} bytes")
+                raise ExchangeBroken(f"{self.address}: over {limit} bytes")
             yield piece
 
     def remaining(self) -> float:
@@ -197,7 +197,7 @@
         """
         remaining_seconds = self.deadline - boottime()
         if remaining_seconds <= 0:
-            raise TooLate(f"{self.address}: out of time")
+            raise ExchangeTimeout(f"{self.address}: out of time")
         return remaining_seconds
 
     def _set_timeout(self, seconds: float) -> None:
--- a/src/ridgecourse/net/figures.py
+++ b/src/ridgecourse/net/figures.py
@@ -10,7 +10,7 @@
 
 logger = logging.getLogger(__name__)
 
-FIGURES_PORT = 9464
+METRICS_PORT = 9464
 """Port of the metrics on each instance; deploy/system.toml names it too."""
 METRICS_PATH = "/metrics"
 
@@ -38,7 +38,7 @@
         self.total_seconds += seconds
 
 
-class Figures:
+class ProcessMetrics:
     """The counters and histograms of one process.
 
     Attributes:
@@ -80,23 +80,23 @@
         return HttpReply(200, body, [("Content-Type", "text/plain; version=0.0.4")])
 
 
-class FiguresServer:
+class MetricsServer:
     """Serves the metrics of a process.
 
     Without a free port the process runs without serving its metrics.
     """
 
-    def __init__(self, host: str, metrics: Figures) -> None:
+    def __init__(self, host: str, metrics: ProcessMetrics) -> None:
         router = HttpRouter()
         router.add("GET", METRICS_PATH, metrics.serve)
-        self.server = HttpServer(Address(host, FIGURES_PORT), router)
+        self.server = HttpServer(Address(host, METRICS_PORT), router)
 
     def start(self) -> None:
         """Start the server; log a warning if the port is in use."""
         try:
             self.server.start()
         except OSError as error:
-            logger.warning("cannot serve metrics on port %d: %s", FIGURES_PORT, error)
+            logger.warning("cannot serve metrics on port %d: %s", METRICS_PORT, error)
 
     def close(self) -> None:
         """Stop the server."""
--- a/src/ridgecourse/net/front_server.py
+++ b/src/ridgecourse/net/front_server.py
@@ -17,7 +17,7 @@
 from eventlet.hubs import trampoline
 from greenlet import getcurrent
 
-from ridgecourse.core.routes import CallerLimits
+from ridgecourse.core.routes import ClientLimits
 from ridgecourse.net.address import Address
 from ridgecourse.net.http_server import (
     STATUS_TEXT,
@@ -32,7 +32,7 @@
 """Most open connections. An entry has some 4,000 file descriptors, and each request
 uses 2."""
 MAX_HEADER_LINE_BYTES = 64 * 1024
-"""Longest header line that the server reads; ``CallerLimits`` sets what is accepted."""
+"""Longest header line that the server reads; ``ClientLimits`` sets what is accepted."""
 READ_BYTES = 64 * 1024
 CONNECTION_CLOSE = ("Connection", "close")
 
@@ -40,7 +40,7 @@
 eventlet.wsgi.MAX_TOTAL_HEADER_SIZE = 4 * MAX_HEADER_LINE_BYTES
 
 
-class CallerGone(Exception):
+class ClientDisconnected(Exception):
     """The client closed its connection before it received the complete answer."""
 
 
@@ -75,7 +75,7 @@
         """Return the request target without its query."""
         return self.target.partition("?")[0]
 
-    def values(self, name: str) -> list[str]:
+    def header_values(self, name: str) -> list[str]:
         """Return all values of a header, in the order sent."""
         return self.protocol.headers.get_all(name, [])
 
@@ -99,9 +99,9 @@
         except ValueError as error:
             raise BadRequestHead(f"chunk framing: {error}") from error
         except OSError as error:
-            raise CallerGone(str(error)) from error
+            raise ClientDisconnected(str(error)) from error
         if not source.chunked_input and len(data) < declared:
-            raise CallerGone("the body ended early")
+            raise ClientDisconnected("the body ended early")
         return data
 
     def _read_pieces(self, source: Any, limit: int) -> Iterator[bytes]:
@@ -114,7 +114,7 @@
                 raise BodyTooLarge(f"over {limit} bytes")
             yield piece
 
-    def is_abandoned(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Check whether the client has disconnected.
 
         After a freeze a process has several events to handle at once, and the green
@@ -128,8 +128,8 @@
             return True
 
     @contextmanager
-    def watched(self) -> Iterator[None]:
-        """Raise ``CallerGone`` in the block when the client disconnects."""
+    def cancel_on_disconnect(self) -> Iterator[None]:
+        """Raise ``ClientDisconnected`` in the block when the client disconnects."""
         watcher = eventlet.spawn(self._interrupt_on_disconnect, getcurrent())
         try:
             yield
@@ -150,7 +150,7 @@
             trampoline(connection.fileno(), read=True)
             if connection.fd.recv(1, MSG_PEEK):
                 return
-        greenthread.kill(handler, CallerGone("the connection ended"))
+        greenthread.kill(handler, ClientDisconnected("the connection ended"))
 
 
 class FrontReply(NamedTuple):
@@ -234,8 +234,8 @@
     def __init__(self, address: Address, handler: FrontHandler) -> None:
         super().__init__(address, self.answer)
         self.handler = handler
-        self.limits = CallerLimits()
-        self.closing = False
+        self.limits = ClientLimits()
+        self.is_closing = False
         self.connections: set[FrontProtocol] = set()
         self.in_flight = 0
         self.pool = eventlet.GreenPool(MAX_CONNECTIONS)
@@ -279,7 +279,7 @@
             self.in_flight -= 1
             raise
         headers = list(reply.headers)
-        if self.closing:
+        if self.is_closing:
             headers.append(CONNECTION_CLOSE)
         if CONNECTION_CLOSE in headers:
             headers.remove(CONNECTION_CLOSE)
@@ -312,13 +312,13 @@
             return FrontReply(
                 400, headers=[CONNECTION_CLOSE], body=f"{error}\n".encode()
             )
-        except CallerGone:
+        except ClientDisconnected:
             raise
         except Exception:
             logger.exception("%s %s failed", request.method, request.target)
             return FrontReply(502, body=b"internal error\n")
 
-    def end_idle_connections(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close the connections without a request in progress."""
         for protocol in list(self.connections):
             protocol.close_if_idle()
--- a/src/ridgecourse/net/kept_connections.py
+++ b/src/ridgecourse/net/kept_connections.py
@@ -13,7 +13,7 @@
 from ridgecourse.net.http_client import ExchangeFailed, NoConnection
 
 
-class KeptConnections:
+class PersistentConnections:
     """Sends requests to one process over persistent connections.
 
     Attributes:
@@ -25,7 +25,7 @@
     def __init__(self, address: str, source_address: str | None = None) -> None:
         self.address = address
         self.source_address = None if source_address is None else (source_address, 0)
-        self.idle: list[HTTPConnection] = []
+        self.idle_connections: list[HTTPConnection] = []
 
     def get(self, path: str, timeout: float) -> tuple[int, bytes]:
         """Send a GET request and return status and body of the answer.
@@ -41,9 +41,9 @@
             NoConnection: Nothing was sent.
             ExchangeFailed: The request may have been received.
         """
-        while self.idle:
+        while self.idle_connections:
             with suppress(ConnectionError):
-                return self._exchange(self.idle.pop(), path, timeout)
+                return self._exchange(self.idle_connections.pop(), path, timeout)
         socket_address = parse_address(self.address)
         connection = HTTPConnection(
             socket_address.host, socket_address.port, source_address=self.source_address
@@ -81,5 +81,5 @@
             connection.close()
             raise ExchangeFailed(f"{self.address}: {error!r}") from error
         if connection.sock is not None:
-            self.idle.append(connection)
+            self.idle_connections.append(connection)
         return response.status, body
--- a/src/ridgecourse/net/loop_lag.py
+++ b/src/ridgecourse/net/loop_lag.py
@@ -4,7 +4,7 @@
 
 from ridgecourse.core.recent_peak import RecentPeak
 from ridgecourse.net.clock import boottime
-from ridgecourse.net.figures import Figures
+from ridgecourse.net.figures import ProcessMetrics
 from ridgecourse.net.threads import spawn_loop
 
 SAMPLE_SECONDS = 0.25
@@ -22,8 +22,8 @@
         peak: Recent peak of the lag.
     """
 
-    def __init__(self, metrics: Figures) -> None:
-        self.figures = metrics
+    def __init__(self, metrics: ProcessMetrics) -> None:
+        self.metrics = metrics
         self.peak = RecentPeak()
         self.thread: eventlet.greenthread.GreenThread | None = None
 
@@ -42,5 +42,5 @@
             eventlet.sleep(SAMPLE_SECONDS)
             now = boottime()
             lag = max(0.0, now - due)
-            self.figures.observe("loop_lag", lag)
+            self.metrics.observe("loop_lag", lag)
             self.peak.observe(min(lag, MAX_LAG_SECONDS), now)
--- a/src/ridgecourse/net/patch.py
+++ b/src/ridgecourse/net/patch.py
@@ -14,7 +14,7 @@
 from contextlib import contextmanager
 from typing import Any
 
-from ridgecourse.net.deferred import deferred
+from ridgecourse.net.deferred import defer_imports
 
 warnings.filterwarnings("ignore", message=r"\s*Eventlet is deprecated")
 
@@ -22,7 +22,7 @@
 os.environ["EVENTLET_NO_GREENDNS"] = "yes"
 
 # Eventlet needs asyncio only for its asyncio hub.
-with deferred({"asyncio": ()}):
+with defer_imports({"asyncio": ()}):
     import eventlet  # noqa: E402
 from eventlet import patcher  # noqa: E402
 from eventlet.green.thread import allocate_lock  # noqa: E402
@@ -92,7 +92,7 @@
 
 # Modules that the libraries import for features that no program uses: files, forms,
 # schemas, proxies, HTTP/2, compression, thread pools and HTML error pages.
-with deferred(
+with defer_imports(
     {
         "concurrent.futures": (),
         "html": (),
--- a/src/ridgecourse/net/program.py
+++ b/src/ridgecourse/net/program.py
@@ -9,7 +9,7 @@
 from returns.result import Failure
 
 from ridgecourse import __version__
-from ridgecourse.core.finding import render_findings
+from ridgecourse.core.problem import render_problems
 from ridgecourse.net.exit_code import EXIT_OK, EXIT_USAGE
 from ridgecourse.net.logs import set_up_logging
 from ridgecourse.net.process import Process, run_until_signal
@@ -51,7 +51,7 @@
     """
     loaded = load_settings(arguments.settings, settings_type)
     if isinstance(loaded, Failure):
-        print(render_findings(loaded.failure()), file=sys.stderr)
+        print(render_problems(loaded.failure()), file=sys.stderr)
         return EXIT_USAGE
     settings: Any = loaded.unwrap()
     if arguments.check:
--- a/src/ridgecourse/net/record_follower.py
+++ b/src/ridgecourse/net/record_follower.py
@@ -32,7 +32,7 @@
 """Longest pause in which a follower leaves its link to other readers. Where answers
 take that long, the time limit for a decision to be in force is 3 s or more."""
 
-LONG_ANSWER_SECONDS = 0.1
+SLOW_TRANSFER_SECONDS = 0.1
 """Transfer time from which an answer counts as slow: it delays other processes, which
 wait for the answer or for the link."""
 
@@ -66,7 +66,7 @@
 
     decision_wait: float = DECISION_WAIT_SECONDS
     targets_pause: float = TARGETS_PAUSE_SECONDS
-    told_pause: float = 0.0
+    relay_pause: float = 0.0
 
 
 GATEWAY_PACE = ReadPace()
@@ -123,25 +123,25 @@
         apply_batch: Callable[[RecordBatch, bool], None],
         on_outage_end: Callable[[float], None],
         events: EventStream,
-        misses_none: bool = False,
-        told_pause: float | None = None,
+        reads_skipped: bool = False,
+        relay_pause: float | None = None,
     ) -> None:
         self.source = source
         self.topic = topic
         self.wait = wait
         self.pause = pause
-        self.told_pause = told_pause
+        self.relay_pause = relay_pause
         self.apply_batch = apply_batch
         self.on_outage_end = on_outage_end
         self.events = events
-        self.misses_none = misses_none
+        self.reads_skipped = reads_skipped
         self.skipped: SkippedRange | None = None
         self.offset: Offset | None = None
         self.is_behind = False
         self.known_end = 0
-        self.lost_since: Seconds | None = None
-        self.heard_at = Seconds(0.0)
-        self.unheard = 0.0
+        self.unavailable_since: Seconds | None = None
+        self.confirmed_at = Seconds(0.0)
+        self.unconfirmed_seconds = 0.0
         self.failures = 0
         self.thread: eventlet.greenthread.GreenThread | None = None
 
@@ -176,8 +176,8 @@
                 continue
             self._record_answer(batch)
             self._record_skipped(batch, is_full_read)
-            if not batch.behind:
-                self.heard_at = max(self.heard_at, batch.heard_at)
+            if not batch.remaining_records:
+                self.confirmed_at = max(self.confirmed_at, batch.confirmed_at)
             # A follower that is behind needs the current records, not all records in
             # between.
             self.is_behind = self._check_behind(batch, is_full_read)
@@ -197,11 +197,15 @@
             batch: The last answer.
             is_full_read: Whether the answer has the newest record of each key.
         """
-        end = batch.end + batch.behind
+        end = batch.end + batch.remaining_records
         has_grown, self.known_end = end != self.known_end, end
         if is_full_read:
-            return self.is_behind and has_grown and batch.took >= LONG_ANSWER_SECONDS
-        return batch.behind > 0
+            return (
+                self.is_behind
+                and has_grown
+                and batch.transfer_seconds >= SLOW_TRANSFER_SECONDS
+            )
+        return batch.remaining_records > 0
 
     def _pause_after(self, batch: RecordBatch) -> float:
         """Return the pause before the next read, in seconds.
@@ -213,20 +217,20 @@
         pause = self.pause
         if self.is_behind:
             pause = 0.0
-        elif batch.told and self.told_pause is not None:
-            pause = self.told_pause
-        return max(pause, min(MAX_LINK_YIELD_SECONDS, batch.took))
+        elif batch.is_relayed and self.relay_pause is not None:
+            pause = self.relay_pause
+        return max(pause, min(MAX_LINK_YIELD_SECONDS, batch.transfer_seconds))
 
     def _record_skipped(self, batch: RecordBatch, is_full_read: bool) -> None:
         """Record the range of skipped records, up to the end of the newest records."""
         if is_full_read and self.skipped:
             self.skipped = self.skipped._replace(end=batch.end)
-        if batch.passed_from is not None and self.misses_none:
-            start = self.skipped.start if self.skipped else batch.passed_from
-            self.skipped = SkippedRange(start, batch.end, self.heard_at)
-        if batch.behind and self.misses_none:
-            end = Offset(batch.end + batch.behind)
-            skipped = self.skipped or SkippedRange(batch.end, end, self.heard_at)
+        if batch.skipped_from is not None and self.reads_skipped:
+            start = self.skipped.start if self.skipped else batch.skipped_from
+            self.skipped = SkippedRange(start, batch.end, self.confirmed_at)
+        if batch.remaining_records and self.reads_skipped:
+            end = Offset(batch.end + batch.remaining_records)
+            skipped = self.skipped or SkippedRange(batch.end, end, self.confirmed_at)
             self.skipped = skipped._replace(end=end)
 
     def _read_skipped(self) -> None:
@@ -246,13 +250,15 @@
             return
         except SourceUnavailable:
             # The read is repeated after the next read without new records.
-            self.events.figures.count("skipped_unread")
+            self.events.metrics.count("skipped_unread")
             return
         since = self.skipped.earliest_written_at
         is_caught_up = not batch.records or batch.end >= self.skipped.end
         self.skipped = None if is_caught_up else self.skipped._replace(start=batch.end)
         # The batch is marked as behind, because it does not show the current state.
-        self.apply_batch(replace(batch, behind=1, since=since), False)
+        self.apply_batch(
+            replace(batch, remaining_records=1, earliest_written_at=since), False
+        )
 
     def _next_offset(self, batch: RecordBatch) -> Offset:
         return batch.end if self.offset is None else max(self.offset, batch.end)
@@ -262,8 +268,8 @@
             return self.source.newest(self.topic), True
         # A waiting read would report only at its end that the store is available again,
         # or that nothing is newer than an answer with a slow transfer.
-        is_stale = boottime() - self.heard_at > STALE_SECONDS
-        wait = 0.0 if is_stale or self.lost_since is not None else self.wait
+        is_stale = boottime() - self.confirmed_at > STALE_SECONDS
+        wait = 0.0 if is_stale or self.unavailable_since is not None else self.wait
         return self.source.read(self.topic, self.offset, wait), False
 
     def _retry_wait(self) -> float:
@@ -272,9 +278,9 @@
 
     def _record_failure(self, error: SourceUnavailable) -> None:
         self.failures += 1
-        self.events.figures.count(f"read_failed_{self.topic.value}")
-        if self.lost_since is None:
-            self.lost_since = boottime()
+        self.events.metrics.count(f"read_failed_{self.topic.value}")
+        if self.unavailable_since is None:
+            self.unavailable_since = boottime()
             self.events.emit(
                 EventKind.LOG_LOST, topic=self.topic.value, error=str(error)
             )
@@ -282,8 +288,8 @@
     def _record_answer(self, batch: RecordBatch) -> None:
         self.failures = 0
         now = boottime()
-        self.unheard = now - self.heard_at if self.heard_at else 0.0
-        if self.lost_since is not None:
-            outage_seconds = now - self.lost_since
-            self.lost_since = None
+        self.unconfirmed_seconds = now - self.confirmed_at if self.confirmed_at else 0.0
+        if self.unavailable_since is not None:
+            outage_seconds = now - self.unavailable_since
+            self.unavailable_since = None
             self.on_outage_end(outage_seconds)
--- a/src/ridgecourse/net/record_source.py
+++ b/src/ridgecourse/net/record_source.py
@@ -68,15 +68,15 @@
 
     records: Sequence[KeyedRecord]
     end: Offset
-    heard_at: Seconds
-    behind: int = 0
-    since: Seconds | None = None
-    told: bool = False
-    kept: float = 0.0
-    took: float = 0.0
+    confirmed_at: Seconds
+    remaining_records: int = 0
+    earliest_written_at: Seconds | None = None
+    is_relayed: bool = False
+    removal_grace_seconds: float = 0.0
+    transfer_seconds: float = 0.0
     read_at: Seconds = Seconds(0.0)
-    level: int = 0
-    passed_from: Offset | None = None
+    relay_hops: int = 0
+    skipped_from: Offset | None = None
 
 
 class SourceUnavailable(Exception):
@@ -87,7 +87,7 @@
     """The store has dropped the requested records."""
 
 
-class TopicGrown(Exception):
+class AppendConflict(Exception):
     """A conditional write failed because other records were appended before it."""
 
 
--- a/src/ridgecourse/net/settings.py
+++ b/src/ridgecourse/net/settings.py
@@ -13,7 +13,7 @@
 from pydantic import AfterValidator, BaseModel, ConfigDict, ValidationError
 from returns.result import Failure, Result, Success
 
-from ridgecourse.core.finding import Finding, Findings
+from ridgecourse.core.problem import Problem, Problems
 from ridgecourse.net.address import parse_address
 
 SettingsT = TypeVar("SettingsT", bound="Settings")
@@ -37,7 +37,7 @@
 
 def load_settings(
     path: Path, settings_type: type[SettingsT]
-) -> Result[SettingsT, Findings]:
+) -> Result[SettingsT, Problems]:
     """Read and check a settings file.
 
     Args:
@@ -50,13 +50,13 @@
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        return Failure((Finding(str(path), f"cannot be read: {error}"),))
+        return Failure((Problem(str(path), f"cannot be read: {error}"),))
     return parse_settings(text, str(path), settings_type)
 
 
 def parse_settings(
     text: str, name: str, settings_type: type[SettingsT]
-) -> Result[SettingsT, Findings]:
+) -> Result[SettingsT, Problems]:
     """Parse and check the text of a settings file; see ``load_settings``.
 
     Args:
@@ -68,7 +68,7 @@
         model = loads(text, loader=ModelLoader())
         values = loads(text, loader=DefaultLoader())
     except JSON5DecodeError as error:
-        return Failure((Finding(name, f"is no JSON with comments: {error}"),))
+        return Failure((Problem(name, f"is no JSON with comments: {error}"),))
     lines = dict(key_lines(model.value, ()))
     try:
         return Success(settings_type.model_validate(values))
@@ -91,7 +91,7 @@
 
 def describe_problems(
     error: ValidationError, name: str, lines: dict[KeyPath, int]
-) -> Iterator[Finding]:
+) -> Iterator[Problem]:
     """Yield a problem for each validation error, with its line and key."""
     for error_details in error.errors():
         path: KeyPath = error_details["loc"]
@@ -102,7 +102,7 @@
             message = "unknown key"
         elif error_details["type"] != "missing":
             message = f"{message}, found {error_details['input']!r}"
-        yield Finding(f"{name}:{line}: {key}", message)
+        yield Problem(f"{name}:{line}: {key}", message)
 
 
 def nearest_line(path: KeyPath, lines: dict[KeyPath, int]) -> int:
--- a/src/ridgecourse/net/site_process.py
+++ b/src/ridgecourse/net/site_process.py
@@ -5,7 +5,7 @@
 import eventlet
 from returns.result import Failure, Result
 
-from ridgecourse.core.finding import Findings
+from ridgecourse.core.problem import Problems
 from ridgecourse.core.site import Site
 from ridgecourse.net.events import EventKind, EventStream
 from ridgecourse.net.process import Process
@@ -20,11 +20,11 @@
     """Source of the settings of a process."""
 
     @abstractmethod
-    def changed(self) -> bool:
+    def has_changed(self) -> bool:
         """Check whether the settings differ from those that were last read."""
 
     @abstractmethod
-    def read(self) -> Result[Site, Findings]:
+    def read(self) -> Result[Site, Problems]:
         """Return the settings, or all problems of the settings."""
 
 
@@ -60,17 +60,17 @@
         Invalid settings are reported, and the previous settings stay in force. Changed
         addresses and similar settings take effect at the next start.
         """
-        if self.settings is None or not self.settings.changed():
+        if self.settings is None or not self.settings.has_changed():
             return
         loaded = self.settings.read()
         if isinstance(loaded, Failure):
             errors = "; ".join(map(str, loaded.failure()))
             self.events.emit(EventKind.BAD_INPUT, error=errors)
             return
-        adopted, pending = self.site.adopt(loaded.unwrap())
+        adopted, pending = self.site.apply_reloadable(loaded.unwrap())
         self.events.emit(EventKind.SETTINGS_CHANGED, adopted=adopted, pending=pending)
-        self.take_bounds()
+        self.apply_limits()
 
     @abstractmethod
-    def take_bounds(self) -> None:
+    def apply_limits(self) -> None:
         """Apply the limits that operators have set in the current settings."""
--- a/src/ridgecourse/net/throttle.py
+++ b/src/ridgecourse/net/throttle.py
@@ -24,7 +24,7 @@
         self.total = 0
         self.free_at: float = boottime()
 
-    def take(self, size: int) -> None:
+    def acquire(self, size: int) -> None:
         """Wait until a number of bytes may be sent.
 
         Args:
@@ -41,7 +41,7 @@
     def pace(self, pieces: Iterable[bytes]) -> Iterator[bytes]:
         """Yield pieces no faster than the rate."""
         for piece in pieces:
-            self.take(len(piece))
+            self.acquire(len(piece))
             yield piece
 
 
@@ -74,7 +74,7 @@
         self.is_known = False
         self.last_used_at = -inf
 
-    def longest(self, size: int) -> float:
+    def max_transfer_seconds(self, size: int) -> float:
         """Return the longest expected transfer time in seconds, at the lowest estimate.
 
         Args:
@@ -82,12 +82,12 @@
         """
         return size / (self.limit * self.MIN_SHARE)
 
-    def begin(self, now: float) -> None:
+    def record_start(self, now: float) -> None:
         """Record that the use of the link begins."""
         if now - self.last_used_at > self.ESTIMATE_VALID_SECONDS:
             self.is_known = False
 
-    def end(self, now: float) -> None:
+    def record_end(self, now: float) -> None:
         """Record that the use of the link has ended."""
         self.last_used_at = now
 
@@ -115,7 +115,7 @@
             self.current = min(self.limit, self.current * self.GROWTH_FACTOR)
 
 
-def in_pieces(data: bytes, size: int) -> Iterator[bytes]:
+def split_into_pieces(data: bytes, size: int) -> Iterator[bytes]:
     """Yield data in pieces of a size in bytes; the last piece may be shorter."""
     view = memoryview(data)
     for start in range(0, len(data), size):
--- a/src/ridgecourse/net/websocket.py
+++ b/src/ridgecourse/net/websocket.py
@@ -39,8 +39,8 @@
 
     def __init__(self, connection: Connection) -> None:
         self.connection = connection
-        self.sent = 0
-        self.received = 0
+        self.sent_bytes = 0
+        self.received_bytes = 0
 
     def send(self, message: ControlMessage) -> None:
         """Send a message.
@@ -49,7 +49,7 @@
             ChannelClosed: The connection has ended.
         """
         data = encode_message(message)
-        self.sent += len(data)
+        self.sent_bytes += len(data)
         try:
             self.connection.send(data)
         except (ConnectionClosed, OSError) as error:
@@ -72,7 +72,7 @@
             return None
         except (ConnectionClosed, OSError) as error:
             raise ChannelClosed(str(error)) from error
-        self.received += len(data)
+        self.received_bytes += len(data)
         decoded = self.decode(data, expected)
         if isinstance(decoded, Failure):
             self.close()
--- a/src/ridgecourse/platform/config_records.py
+++ b/src/ridgecourse/platform/config_records.py
@@ -10,9 +10,9 @@
 from ridgecourse.core.ids import AccountName, DomainName, ModelName, ServiceName
 from ridgecourse.core.routes import (
     Account,
-    CallerLimits,
+    ClientLimits,
     EngineModel,
-    OriginPlace,
+    OriginLocation,
     Repeatability,
     Route,
     RoutingConfig,
@@ -290,18 +290,18 @@
     )
 
 
-def make_origin(fields: ServiceFields) -> OriginPlace:
+def make_origin(fields: ServiceFields) -> OriginLocation:
     """Return the origin of weights, with its bandwidth in bytes per second."""
-    return OriginPlace(
+    return OriginLocation(
         address=fields.origin or "",
         domain=DomainName(fields.zone),
         bytes_per_s=fields.bandwidth_mbps * BYTES_PER_MBIT,
     )
 
 
-def make_limits(fields: ClientLimitFields) -> CallerLimits:
+def make_limits(fields: ClientLimitFields) -> ClientLimits:
     """Return the limits on clients' requests in bytes and seconds."""
-    return CallerLimits(
+    return ClientLimits(
         header_bytes=fields.max_header_bytes,
         body_bytes=fields.max_body_bytes,
         header_seconds=fields.header_timeout_ms * MILLISECOND,
--- a/src/ridgecourse/platform/engine.py
+++ b/src/ridgecourse/platform/engine.py
@@ -11,7 +11,7 @@
 from returns.result import Failure
 
 from ridgecourse.core.ids import ModelName, WeightsVersion
-from ridgecourse.loader.protocol import (
+from ridgecourse.loader.engine_control import (
     EngineControl,
     EngineReport,
     EngineUnavailable,
@@ -19,9 +19,9 @@
     OrderOutcome,
 )
 from ridgecourse.net.http_client import ExchangeFailed, HttpClient, NoConnection
-from ridgecourse.net.kept_connections import KeptConnections
+from ridgecourse.net.kept_connections import PersistentConnections
 from ridgecourse.platform.names import (
-    CHUNK_INDEX,
+    CHUNK_INDEX_PARAMETER,
     ORDER_PATH,
     REPORT_PATH,
     STAGE_GET_PATH,
@@ -97,7 +97,7 @@
     def __init__(self, address: str, http: HttpClient, source: str) -> None:
         self.address = address
         self.http = http
-        self.connections = KeptConnections(address, source)
+        self.connections = PersistentConnections(address, source)
 
     def report(self) -> EngineReport:
         """Return the engine's report; see ``EngineControl``."""
@@ -134,7 +134,7 @@
 
     def stage(self, model: ModelName, index: int, data: bytes) -> None:
         """Write a chunk to the staging area; see ``EngineControl``."""
-        path = f"{STAGE_PUT_PATH}{quote(model)}?{CHUNK_INDEX}={index}"
+        path = f"{STAGE_PUT_PATH}{quote(model)}?{CHUNK_INDEX_PARAMETER}={index}"
         status, _ = self._call("PUT", path, data)
         if status // 100 != 2:
             raise EngineUnavailable(
@@ -143,7 +143,7 @@
 
     def staged(self, model: ModelName, index: int) -> bytes | None:
         """Return a staged chunk, or None if absent; see ``EngineControl``."""
-        path = f"{STAGE_GET_PATH}{quote(model)}?{CHUNK_INDEX}={index}"
+        path = f"{STAGE_GET_PATH}{quote(model)}?{CHUNK_INDEX_PARAMETER}={index}"
         status, data = self._call("GET", path)
         if status == 404:
             return None
--- a/src/ridgecourse/platform/gateway_main.py
+++ b/src/ridgecourse/platform/gateway_main.py
@@ -12,7 +12,7 @@
 from ridgecourse.platform.names import READY_PATH
 from ridgecourse.platform.origin import PlatformOrigin
 from ridgecourse.platform.process import run_on_platform
-from ridgecourse.platform.records import PlatformRecords
+from ridgecourse.platform.records import PlatformRecordDecoder
 from ridgecourse.platform.requests import PlatformRequestProtocol
 from ridgecourse.platform.store import PlatformStore
 
@@ -25,7 +25,7 @@
     return Gateway(
         site,
         PlatformStore(site.store, http),
-        PlatformRecords(),
+        PlatformRecordDecoder(),
         PlatformRequestProtocol(),
         PlatformOrigin(http),
         http,
--- a/src/ridgecourse/platform/loader_main.py
+++ b/src/ridgecourse/platform/loader_main.py
@@ -12,7 +12,7 @@
 from ridgecourse.platform.engine import PlatformEngine
 from ridgecourse.platform.origin import PlatformOrigin
 from ridgecourse.platform.process import run_on_platform
-from ridgecourse.platform.records import PlatformRecords
+from ridgecourse.platform.records import PlatformRecordDecoder
 from ridgecourse.platform.store import PlatformStore
 
 end_import_pause()
@@ -25,7 +25,7 @@
     return Loader(
         site,
         PlatformStore(site.store, http),
-        PlatformRecords(),
+        PlatformRecordDecoder(),
         PlatformEngine(site.target.address, http, site.host),
         PlatformOrigin(http),
         http,
--- a/src/ridgecourse/platform/names.py
+++ b/src/ridgecourse/platform/names.py
@@ -4,7 +4,7 @@
 """Environment variable that holds the path of the settings file."""
 
 # Request headers.
-ATTEMPT_ID = "Attempt-Id"
+ATTEMPT_ID_HEADER = "Attempt-Id"
 """Identifies one attempt of a client; each retry has a new value."""
 DEADLINE_HEADER = "Deadline-Ms"
 API_KEY_HEADER = "Key"
@@ -21,8 +21,8 @@
 URGENCY_HEADER = "Urgency-Class"
 
 # Answer headers.
-SIGNATURE = "Response-Signature"
-NOT_RUN = "Not-Executed"
+SIGNATURE_HEADER = "Response-Signature"
+NOT_EXECUTED_HEADER = "Not-Executed"
 RATE_LIMIT_HEADER = "Server-Limit"
 """Requests per second that the engine accepts from all gateways together."""
 TARGET_HEADER = "Instance-Id"
@@ -40,7 +40,7 @@
 LOG_APPEND_PATH = "/ridgecourse/log-append"
 LOG_NEWEST_PATH = "/ridgecourse/log-newest"
 
-CHUNK_INDEX = "sample_count"
+CHUNK_INDEX_PARAMETER = "sample_count"
 """Query parameter with the index of a chunk of a model's weights. Despite the name this
 is not a count."""
 
--- a/src/ridgecourse/platform/origin.py
+++ b/src/ridgecourse/platform/origin.py
@@ -6,7 +6,7 @@
 from returns.result import Failure
 
 from ridgecourse.core.ids import ChunkDigest, ModelName, WeightsVersion
-from ridgecourse.core.manifest import ChunkPlace, FileEntry, Manifest, find_faults
+from ridgecourse.core.manifest import ChunkLocation, FileEntry, Manifest, find_problems
 from ridgecourse.exchange.origin import (
     ChunkOrigin,
     OriginBusy,
@@ -15,7 +15,7 @@
     WeightsOrigin,
 )
 from ridgecourse.net.http_client import ExchangeFailed, HttpClient, NoConnection
-from ridgecourse.platform.names import CHUNK_INDEX, CHUNK_PATH, MANIFEST_PATH
+from ridgecourse.platform.names import CHUNK_INDEX_PARAMETER, CHUNK_PATH, MANIFEST_PATH
 from ridgecourse.platform.records import decode_json
 
 WEIGHTS_FILE = "weights"
@@ -57,7 +57,7 @@
         size = fields.chunk_bytes * len(digests)
         entry = FileEntry(WEIGHTS_FILE, size, digests)
         manifest = Manifest(fields.chunk_bytes, (entry,))
-        problems = list(find_faults(manifest))
+        problems = list(find_problems(manifest))
         if problems:
             raise OriginUnavailable("; ".join(map(str, problems)))
         return manifest
@@ -110,13 +110,13 @@
         self.address = address
         self.model = model
         self.version = version
-        self.drawn = 0
+        self.received_bytes = 0
 
-    def chunk(self, place: ChunkPlace, stall: float) -> bytes:
+    def chunk(self, place: ChunkLocation, stall: float) -> bytes:
         """Return a chunk's bytes; see ``ChunkOrigin``."""
         index = place.start // place.length
-        query = f"{CHUNK_INDEX}={index}&version={self.version}"
+        query = f"{CHUNK_INDEX_PARAMETER}={index}&version={self.version}"
         path = f"{CHUNK_PATH}{quote(self.model)}?{query}"
         data = self.origin.fetch(self.address, path, stall)
-        self.drawn += len(data)
+        self.received_bytes += len(data)
         return data
--- a/src/ridgecourse/platform/process.py
+++ b/src/ridgecourse/platform/process.py
@@ -9,7 +9,7 @@
 from returns.result import Failure
 
 from ridgecourse import __version__
-from ridgecourse.core.finding import render_findings
+from ridgecourse.core.problem import render_problems
 from ridgecourse.core.site import Site
 from ridgecourse.net.exit_code import EXIT_OK, EXIT_USAGE
 from ridgecourse.net.logs import set_up_logging
@@ -51,7 +51,7 @@
     settings = SettingsFile(Path(options.settings))
     loaded = settings.read()
     if isinstance(loaded, Failure):
-        print(render_findings(loaded.failure()), file=sys.stderr)
+        print(render_problems(loaded.failure()), file=sys.stderr)
         return EXIT_USAGE
     site = loaded.unwrap()
     if options.check:
--- a/src/ridgecourse/platform/records.py
+++ b/src/ridgecourse/platform/records.py
@@ -10,7 +10,6 @@
 from returns.result import Failure, Result, Success
 
 from ridgecourse.cluster.decoder import Decision, RecordDecoder
-from ridgecourse.core.finding import Finding, Findings
 from ridgecourse.core.ids import (
     DomainName,
     EngineStart,
@@ -19,7 +18,8 @@
     TargetId,
     WeightsVersion,
 )
-from ridgecourse.core.targets import HeldLayers, ListedTarget, TargetRecord
+from ridgecourse.core.problem import Problem, Problems
+from ridgecourse.core.target_list import HeldLayers, ListedTarget, TargetRecord
 from ridgecourse.core.weights import NamedVersion
 from ridgecourse.net.record_source import KeyedRecord
 from ridgecourse.platform.config_records import ConfigFields, make_config
@@ -130,7 +130,7 @@
 VERSION_DECODER = Decoder(VersionFields)
 
 
-def decode_decision(record: KeyedRecord) -> Result[Decision | None, Findings]:
+def decode_decision(record: KeyedRecord) -> Result[Decision | None, Problems]:
     """Decode an operator's decision; return None for an unknown kind of decision."""
     if record.key == CONFIG_KEY:
         return decode_value(record, CONFIG_DECODER).map(make_config)
@@ -141,7 +141,7 @@
     return make_failure(record, record.broken) if record.broken else Success(None)
 
 
-def decode_value(record: KeyedRecord, decoder: Decoder) -> Result[Any, Findings]:
+def decode_value(record: KeyedRecord, decoder: Decoder) -> Result[Any, Problems]:
     """Decode a record's value, which can be any bytes because any writer can append.
 
     Deeply nested JSON, which raises ``RecursionError``, is reported as a problem too.
@@ -154,14 +154,14 @@
         return make_failure(record, str(error))
 
 
-def make_failure(record: KeyedRecord, reason: str) -> Result[Any, Findings]:
+def make_failure(record: KeyedRecord, reason: str) -> Result[Any, Problems]:
     """Return a failure with the record's key as the place of the problem."""
-    return Failure((Finding(record.key, reason),))
+    return Failure((Problem(record.key, reason),))
 
 
 def make_named_version(
     record: KeyedRecord, fields: VersionFields
-) -> Result[NamedVersion, Findings]:
+) -> Result[NamedVersion, Problems]:
     """Return the named version; fail if the key is for another model than the value."""
     if record.key != f"{VERSION_KEY_PREFIX}{fields.model}":
         return make_failure(
@@ -171,7 +171,7 @@
     return Success(NamedVersion(model, WeightsVersion(fields.version)))
 
 
-def decode_target(record: KeyedRecord) -> Result[TargetRecord, Findings]:
+def decode_target(record: KeyedRecord) -> Result[TargetRecord, Problems]:
     """Decode an entry of the target list, or its removal, which has an empty value."""
     target = TargetId(record.key)
     if not record.value and not record.broken:
@@ -213,7 +213,7 @@
     return HeldLayers(fields.first, fields.end, WeightsVersion(fields.version))
 
 
-def decode_json(data: bytes, body_type: Any, place: str) -> Result[Any, Findings]:
+def decode_json(data: bytes, body_type: Any, place: str) -> Result[Any, Problems]:
     """Decode the JSON body of an answer.
 
     Args:
@@ -224,19 +224,19 @@
     try:
         return Success(Decoder(body_type).decode(data))
     except DecodeError as error:
-        return Failure((Finding(place, str(error)),))
+        return Failure((Problem(place, str(error)),))
 
 
-class PlatformRecords(RecordDecoder):
+class PlatformRecordDecoder(RecordDecoder):
     """Decoder of the platform's records."""
 
-    def decision(self, record: KeyedRecord) -> Result[Decision | None, Findings]:
+    def decision(self, record: KeyedRecord) -> Result[Decision | None, Problems]:
         """Return an operator's decision; see ``RecordDecoder``."""
         return decode_decision(record)
 
     def targets(
         self, records: Sequence[KeyedRecord]
-    ) -> tuple[Sequence[TargetRecord], Findings]:
+    ) -> tuple[Sequence[TargetRecord], Problems]:
         """Return changes of the target list; see ``RecordDecoder``."""
         decoded = [(record, decode_target(record)) for record in records]
         changes = [
--- a/src/ridgecourse/platform/requests.py
+++ b/src/ridgecourse/platform/requests.py
@@ -8,26 +8,26 @@
 from returns.result import Failure, Result, Success
 from urllib3 import BaseHTTPResponse
 
-from ridgecourse.core.finding import Finding, Findings
 from ridgecourse.core.ids import ModelName, RequestId
-from ridgecourse.gateway.messages import AnswerHead, CallerRequest, SendTerms
+from ridgecourse.core.problem import Problem, Problems
+from ridgecourse.gateway.messages import AnswerHead, ClientRequest, SendTerms
 from ridgecourse.gateway.protocol import RequestProtocol
 from ridgecourse.net.front_server import FrontRequest
 from ridgecourse.net.http_server import HeaderList
 from ridgecourse.platform.names import (
     ACCOUNT_HEADER,
     API_KEY_HEADER,
-    ATTEMPT_ID,
+    ATTEMPT_ID_HEADER,
     DEADLINE_HEADER,
     EXPECTED_TARGET_HEADER,
     EXPECTED_VERSION_HEADER,
     LAST_EVENT_ID_HEADER,
     LENGTH_HINT_HEADER,
     MODEL_HEADER,
-    NOT_RUN,
+    NOT_EXECUTED_HEADER,
     RATE_LIMIT_HEADER,
     RETRY_AFTER_HEADER,
-    SIGNATURE,
+    SIGNATURE_HEADER,
     TARGET_HEADER,
     TOKEN_COUNTS_HEADER,
     URGENCY_HEADER,
@@ -73,7 +73,7 @@
 
 UNREPEATABLE_HEADERS = (
     "Host",
-    ATTEMPT_ID,
+    ATTEMPT_ID_HEADER,
     DEADLINE_HEADER,
     API_KEY_HEADER,
     "Content-Length",
@@ -85,40 +85,40 @@
 class PlatformRequestProtocol(RequestProtocol):
     """Implements the platform's request protocol."""
 
-    def decode_request(self, request: FrontRequest) -> Result[CallerRequest, Findings]:
+    def decode_request(self, request: FrontRequest) -> Result[ClientRequest, Problems]:
         """Return a client's request or the problems; see ``RequestProtocol``."""
         fields = HeaderFields(request.headers)
         problems = [
-            Finding(name, "stands more than once")
+            Problem(name, "stands more than once")
             for name in UNREPEATABLE_HEADERS
             if len(fields.values(name)) > 1
         ]
         problems.extend(
-            Finding(name, "is folded over lines")
+            Problem(name, "is folded over lines")
             for name, value in request.headers
             if "\n" in value or "\r" in value
         )
         transfer_encoding = fields.first("Transfer-Encoding")
         if transfer_encoding and transfer_encoding.lower() != "chunked":
-            problems.append(Finding("Transfer-Encoding", f"is {transfer_encoding!r}"))
+            problems.append(Problem("Transfer-Encoding", f"is {transfer_encoding!r}"))
         if not request.target.isascii():
-            problems.append(Finding("target", "has bytes beyond ASCII"))
+            problems.append(Problem("target", "has bytes beyond ASCII"))
         timeout_ms = fields.number(DEADLINE_HEADER)
         if fields.first(DEADLINE_HEADER) and timeout_ms is None:
-            problems.append(Finding(DEADLINE_HEADER, "is no number"))
+            problems.append(Problem(DEADLINE_HEADER, "is no number"))
         if problems:
             return Failure(tuple(problems))
         return Success(self._make_request(request, fields, timeout_ms))
 
     def _make_request(
         self, request: FrontRequest, fields: "HeaderFields", timeout_ms: float | None
-    ) -> CallerRequest:
+    ) -> ClientRequest:
         prompt, _, answer = fields.first(TOKEN_COUNTS_HEADER).partition(",")
         dropped_names = (
             HOP_BY_HOP_HEADERS | REPLACED_HEADERS | fields.connection_options()
         )
-        return CallerRequest(
-            request_id=RequestId(fields.first(ATTEMPT_ID)),
+        return ClientRequest(
+            request_id=RequestId(fields.first(ATTEMPT_ID_HEADER)),
             method=request.method,
             target=request.target,
             host=fields.first("Host").partition(":")[0].lower(),
@@ -136,7 +136,7 @@
             last_event=fields.integer(LAST_EVENT_ID_HEADER),
         )
 
-    def encode_request(self, call: CallerRequest, terms: SendTerms) -> HeaderList:
+    def encode_request(self, call: ClientRequest, terms: SendTerms) -> HeaderList:
         """Return the headers to send to a target; see ``RequestProtocol``."""
         headers = list(call.headers)
         headers.append((DEADLINE_HEADER, str(max(1, int(terms.wait / MILLISECOND)))))
@@ -165,9 +165,9 @@
                 for name, value in fields.items()
                 if name.lower() not in HOP_BY_HOP_HEADERS and name.lower() != "date"
             ],
-            request_id=fields.get(ATTEMPT_ID, ""),
-            signed=bool(fields.get(SIGNATURE)),
-            not_run=NOT_RUN in fields or response.status == MISDIRECTED,
+            request_id=fields.get(ATTEMPT_ID_HEADER, ""),
+            signed=bool(fields.get(SIGNATURE_HEADER)),
+            not_run=NOT_EXECUTED_HEADER in fields or response.status == MISDIRECTED,
             other_target=response.status == MISDIRECTED or TARGET_HEADER in fields,
             events=fields.get("Content-Type", "").startswith(EVENT_STREAM_TYPE),
             limit=limit,
--- a/src/ridgecourse/platform/settings.py
+++ b/src/ridgecourse/platform/settings.py
@@ -13,8 +13,8 @@
 from msgspec.json import decode
 from returns.result import Failure, Result, Success
 
-from ridgecourse.core.finding import Finding, Findings
 from ridgecourse.core.ids import DomainName, ProcessName, RegionName, ServiceName
+from ridgecourse.core.problem import Problem, Problems
 from ridgecourse.core.site import Bounds, LocalTarget, Site
 from ridgecourse.net.site_process import SettingsSource
 
@@ -128,7 +128,7 @@
         self.path = path
         self.content: bytes | None = None
 
-    def changed(self) -> bool:
+    def has_changed(self) -> bool:
         """Check whether the file's content differs from the last read."""
         try:
             return self.path.read_bytes() != self.content
@@ -137,7 +137,7 @@
             logger.debug("settings file %s cannot be read: %s", self.path, error)
             return False
 
-    def read(self) -> Result[Site, Findings]:
+    def read(self) -> Result[Site, Problems]:
         """Read and check the file.
 
         Returns:
@@ -146,25 +146,25 @@
         try:
             self.content = self.path.read_bytes()
         except OSError as error:
-            return Failure((Finding(str(self.path), f"cannot be read: {error}"),))
+            return Failure((Problem(str(self.path), f"cannot be read: {error}"),))
         return parse_site(self.content, self.path)
 
 
-def parse_site(content: bytes, path: Path) -> Result[Site, Findings]:
+def parse_site(content: bytes, path: Path) -> Result[Site, Problems]:
     """Return the settings in a file's content, or all problems of the content."""
     try:
         raw = decode(content)
     except DecodeError as error:
-        return Failure((Finding(str(path), f"cannot be read: {error}"),))
+        return Failure((Problem(str(path), f"cannot be read: {error}"),))
     if not isinstance(raw, dict):
-        return Failure((Finding(str(path), "expected an object"),))
+        return Failure((Problem(str(path), "expected an object"),))
     problems = tuple(find_problems(raw, SiteFields, str(path)))
     if problems:
         return Failure(problems)
     return Success(make_site(convert(raw, SiteFields)))
 
 
-def find_problems(raw: Any, struct_type: type[Struct], place: str) -> Iterator[Finding]:
+def find_problems(raw: Any, struct_type: type[Struct], place: str) -> Iterator[Problem]:
     """Yield a problem for each field that is missing or has a wrong type.
 
     Args:
@@ -173,7 +173,7 @@
         place: Path of ``raw`` in the file, to which the field names are added.
     """
     if not isinstance(raw, dict):
-        yield Finding(place, f"expected an object, found {raw!r}")
+        yield Problem(place, f"expected an object, found {raw!r}")
         return
     for name, expected_type in struct_type.__annotations__.items():
         field_place = f"{place}: {name}"
@@ -183,18 +183,18 @@
         )
         if name not in raw:
             if not (struct_type.__struct_defaults__ and has_default):
-                yield Finding(field_place, "is missing")
+                yield Problem(field_place, "is missing")
         elif isinstance(expected_type, type) and issubclass(expected_type, Struct):
             yield from find_problems(raw[name], expected_type, field_place)
         else:
             yield from _find_type_problem(raw[name], expected_type, field_place)
 
 
-def _find_type_problem(value: Any, expected_type: Any, place: str) -> Iterator[Finding]:
+def _find_type_problem(value: Any, expected_type: Any, place: str) -> Iterator[Problem]:
     try:
         convert(value, expected_type)
     except ValidationError as error:
-        yield Finding(place, f"{error}, found {value!r}")
+        yield Problem(place, f"{error}, found {value!r}")
 
 
 def make_site(fields: SiteFields) -> Site:
--- a/src/ridgecourse/platform/store.py
+++ b/src/ridgecourse/platform/store.py
@@ -15,19 +15,19 @@
 from msgspec import DecodeError, Meta, Raw, Struct, field
 from msgspec.json import decode
 
-from ridgecourse.core.hearing import heard_at
+from ridgecourse.core.answer_time import confirmed_at
 from ridgecourse.core.ids import Offset, Seconds
 from ridgecourse.net.clock import boottime
 from ridgecourse.net.http_client import ExchangeFailed, HttpClient, NoConnection
-from ridgecourse.net.record_follower import LONG_ANSWER_SECONDS
+from ridgecourse.net.record_follower import SLOW_TRANSFER_SECONDS
 from ridgecourse.net.record_source import (
+    AppendConflict,
     KeyedRecord,
     RecordBatch,
     RecordsGone,
     RecordSource,
     SourceUnavailable,
     Topic,
-    TopicGrown,
 )
 from ridgecourse.platform.names import (
     BLOCKED_TOPIC,
@@ -146,7 +146,7 @@
         end = Offset(pages[0][0].end_offset)
         read_at = Seconds(boottime() - transfer_seconds)
         return RecordBatch(
-            records, end, asked_at, took=transfer_seconds, read_at=read_at
+            records, end, asked_at, transfer_seconds=transfer_seconds, read_at=read_at
         )
 
     def _newest_pages(self, topic: Topic) -> Iterator[tuple[NewestPage, float]]:
@@ -198,7 +198,7 @@
                 f"invalid records in the answer: {error}"
             ) from error
         now = boottime()
-        confirmed = heard_at(asked_at, now, wait, not records)
+        confirmed = confirmed_at(asked_at, now, wait, not records)
         next_offset = (
             Offset(start + len(records)) if records else Offset(max(start, end))
         )
@@ -208,8 +208,8 @@
             records,
             next_offset,
             confirmed,
-            behind=behind,
-            took=transfer_seconds,
+            remaining_records=behind,
+            transfer_seconds=transfer_seconds,
             read_at=read_at,
         )
 
@@ -246,7 +246,7 @@
             # After a long transfer the time of the last piece stays: the next answer is
             # probably long as well. It is requested after a pause, in which other
             # processes use the link, and already counts as being received.
-            if transfer_seconds < LONG_ANSWER_SECONDS:
+            if transfer_seconds < SLOW_TRANSFER_SECONDS:
                 self.last_piece_at.pop(topic, None)
         return StoreAnswer(status, data, transfer_seconds)
 
@@ -256,7 +256,7 @@
         body = encode_record(key, value)
         status, _ = self._call("POST", LOG_APPEND_PATH, query, body=body)
         if status == 412:
-            raise TopicGrown(f"the topic does not end at offset {end}")
+            raise AppendConflict(f"the topic does not end at offset {end}")
         if status != 200:
             raise SourceUnavailable(f"status {status}, expected 200")
 
--- a/src/ridgecourse/wire/control.py
+++ b/src/ridgecourse/wire/control.py
@@ -2,8 +2,11 @@
 
 from msgspec import Struct
 
-from ridgecourse.core.engine_limits import LimitNews
+from ridgecourse.core.crash_reports import (
+    CrashReport,
+)
 from ridgecourse.core.engine_load import EngineStatus
+from ridgecourse.core.engine_rate_limits import LimitAnnouncement
 from ridgecourse.core.hubs import Peer
 from ridgecourse.core.ids import (
     ChunkDigest,
@@ -12,9 +15,6 @@
     RootDigest,
     TargetName,
 )
-from ridgecourse.core.suspect import (
-    SuspectNews,
-)
 from ridgecourse.core.weights import VersionAge
 
 PROTOCOL_VERSION = 1
@@ -35,7 +35,7 @@
     root: RootDigest
 
 
-class Holds(ControlMessage, frozen=True, tag="holds"):
+class HeldChunks(ControlMessage, frozen=True, tag="holds"):
     """Chunks that the sender has newly received or newly seen in the fleet.
 
     Attributes:
@@ -99,13 +99,13 @@
     gone: list[TargetName]
 
 
-class Named(ControlMessage, frozen=True, tag="named"):
+class VersionAges(ControlMessage, frozen=True, tag="named"):
     """The ages of the named versions of weights, for gateways that start."""
 
     versions: list[VersionAge]
 
 
-class CrashNews(ControlMessage, frozen=True, tag="crash-news"):
+class CrashReports(ControlMessage, frozen=True, tag="crash-news"):
     """A gateway's crash reports on requests during which engines ended, as a datagram.
 
     Attributes:
@@ -116,7 +116,7 @@
     """
 
     process: ProcessName
-    suspects: list[SuspectNews]
+    suspects: list[CrashReport]
     reply: bool = False
 
 
@@ -130,13 +130,13 @@
     reply_to: str
 
 
-class EngineLimitNews(ControlMessage, frozen=True, tag="limits"):
+class EngineLimitReports(ControlMessage, frozen=True, tag="limits"):
     """Limits that engines stated, as a datagram."""
 
-    limits: list[LimitNews]
+    limits: list[LimitAnnouncement]
 
 
-GatewayNews = CrashNews | CrashQuery | EngineLimitNews
-LoaderReport = EngineReport | GatewaysChanged | Named
+GatewayMessage = CrashReports | CrashQuery | EngineLimitReports
+LoaderReport = EngineReport | GatewaysChanged | VersionAges
 LoaderMessage = Follow | Watch
 ChunkIndex = dict[ChunkDigest, int]
--- a/src/ridgecourse_standins/caller.py
+++ b/src/ridgecourse_standins/client.py
@@ -42,18 +42,18 @@
 
     outcome: str
     reason: str
-    whole: bool
+    correct: bool
     seconds: float
     version: str
     body: str
     status: int
     retry_after: str
     first_token_seconds: float
-    sent: float
+    sent_at: float
     account: str = ""
 
 
-class Caller:
+class VerifyingClient:
     """Sends requests to entries and checks the answers against known weights.
 
     Attributes:
@@ -67,14 +67,14 @@
         self.fleet = fleet
         self.key = key
         self.pool = PoolManager(num_pools=64, maxsize=256, retries=False)
-        self.known: dict[str, Weights] = {}
+        self.weights_by_root: dict[str, Weights] = {}
         self.history: list[Answer] = []
         self.sent_count = 0
 
-    def know(self, directory: Path) -> str:
+    def add_version(self, directory: Path) -> str:
         """Read the weights of a version to check answers; return its root digest."""
         root = root_digest((directory / "manifest.json").read_bytes())
-        self.known[root] = read_weights(directory)
+        self.weights_by_root[root] = read_weights(directory)
         return root
 
     def send(
@@ -176,7 +176,7 @@
             return outcome, last.get("version", ""), False
         tokens = [event["token"] for event in events[:-1]]
         prompt = json.loads(body)
-        weights = self.known.get(last["version"])
+        weights = self.weights_by_root.get(last["version"])
         if weights is None:
             return outcome, last["version"], False
         expected = weights.answer(prompt["prompt"], prompt["max_tokens"])
@@ -188,7 +188,7 @@
     return json.dumps({"prompt": prompt or uuid4().hex, "max_tokens": tokens})
 
 
-class Load:
+class LoadGenerator:
     """Sends requests at a constant rate from a pool of threads until stopped.
 
     Attributes:
@@ -201,13 +201,13 @@
 
     def __init__(
         self,
-        caller: Caller,
+        caller: VerifyingClient,
         service: str,
         rate: float,
         workers: int = 32,
         **options: Any,
     ) -> None:
-        self.caller = caller
+        self.client = caller
         self.service = service
         self.rate = rate
         self.options = options
@@ -234,7 +234,7 @@
     def _send_requests(self) -> None:
         while self.due_times.get() is not None and not self.stopped.is_set():
             body = prompt_body(self.tokens)
-            self.caller.send(self.service, body, **self.options)
+            self.client.send(self.service, body, **self.options)
 
     def close(self) -> None:
         """Stop sending and wait for the requests in flight."""
--- a/src/ridgecourse_standins/cluster.py
+++ b/src/ridgecourse_standins/cluster.py
@@ -15,7 +15,7 @@
 from urllib3.exceptions import HTTPError
 
 from ridgecourse.net.auth import token_digest
-from ridgecourse_standins.managed import Managed, ProcessFailed
+from ridgecourse_standins.managed_process import ManagedProcess, ProcessFailed
 from ridgecourse_standins.ports import free_address
 
 SHARED_KEY = "shared-key-of-the-stand-in-deployment"
@@ -70,7 +70,7 @@
 class Node(NamedTuple):
     """An entry or agent: its process, failure domain and settings."""
 
-    managed: Managed
+    managed: ManagedProcess
     domain: str
     settings: dict[str, Any]
 
@@ -102,11 +102,11 @@
         self.models = self.directory / "models"
         self.models.mkdir(parents=True, exist_ok=True)
         self.pool = PoolManager(maxsize=64, retries=False)
-        self.standins: dict[str, Managed] = {}
+        self.standins: dict[str, ManagedProcess] = {}
         self.addresses: dict[str, str] = {}
         self.entries: list[Node] = []
         self.agents: list[Node] = []
-        self.engines: dict[str, Managed] = {}
+        self.engines: dict[str, ManagedProcess] = {}
         self.routes: list[tuple[str, str, str]] = []
 
     def start(self) -> None:
@@ -138,25 +138,25 @@
     def __exit__(self, *_: object) -> None:
         self.close()
 
-    def processes(self) -> Iterator[Managed]:
+    def processes(self) -> Iterator[ManagedProcess]:
         """Yield every process of the deployment."""
         for node in [*self.entries, *self.agents]:
             yield node.managed
         yield from self.engines.values()
         yield from self.standins.values()
 
-    def start_standin(self, name: str, module: str, *arguments: str) -> Managed:
+    def start_standin(self, name: str, module: str, *arguments: str) -> ManagedProcess:
         """Start a stand-in on a free port."""
         return self.start_shared_standin([name], module, *arguments)
 
     def start_shared_standin(
         self, names: list[str], module: str, *arguments: str
-    ) -> Managed:
+    ) -> ManagedProcess:
         """Start several stand-ins of one kind in one process."""
         addresses = {name: free_address() for name in names}
         listen = ",".join(addresses.values())
         command = ["-m", f"ridgecourse_standins.{module}", "--listen", listen]
-        managed = Managed(names[0], [*command, *arguments], self.directory)
+        managed = ManagedProcess(names[0], [*command, *arguments], self.directory)
         managed.start()
         self.addresses.update(addresses)
         return managed
@@ -179,7 +179,7 @@
         path.write_text(json.dumps(settings, indent=2))
         modules = {"entry": self.plan.entry_module, "agent": self.plan.agent_module}
         command = ["-m", modules[role], str(path)]
-        return Node(Managed(name, command, self.directory), domain, settings)
+        return Node(ManagedProcess(name, command, self.directory), domain, settings)
 
     def _make_entries(self) -> None:
         names = [
@@ -348,11 +348,11 @@
         )
         return json.loads(reply.data) if reply.data else None
 
-    def fault(self, name: str, **values: Any) -> None:
+    def set_faults(self, name: str, **values: Any) -> None:
         """Set faults of the named stand-in."""
         self.post_json(self.addresses[name], "/faults", values)
 
-    def admin(self, method: str, entry: int = 0, **fields: Any) -> dict[str, Any]:
+    def call_admin(self, method: str, entry: int = 0, **fields: Any) -> dict[str, Any]:
         """Call an administration method at an entry and return the reply."""
         return self.post_json(
             self.entries[entry].http,
@@ -361,29 +361,29 @@
             {"Authorization": f"Bearer {OPERATOR_TOKEN}"},
         )
 
-    def change(self, method: str, entry: int = 0, **fields: Any) -> dict[str, Any]:
+    def make_change(self, method: str, entry: int = 0, **fields: Any) -> dict[str, Any]:
         """Make a change and return the reply.
 
         Raises:
             ProcessFailed: The change was not accepted.
         """
-        reply = self.admin(method, entry, fleet=FLEET, **fields)
+        reply = self.call_admin(method, entry, fleet=FLEET, **fields)
         if reply.get("status") != "CHANGE_STATUS_ACCEPTED":
             raise ProcessFailed(f"{method} was not accepted: {reply}")
         return reply
 
     def set_up(self) -> None:
         """Create the fleet and the services and join all targets."""
-        self.change("CreateFleet", origin_copies=self.plan.origin_copies)
-        self.change("PutService", service=MODEL_SERVICE, kind="model")
-        self.change("PutService", service=PLAIN_SERVICE, kind="plain")
+        self.make_change("CreateFleet", origin_copies=self.plan.origin_copies)
+        self.make_change("PutService", service=MODEL_SERVICE, kind="model")
+        self.make_change("PutService", service=PLAIN_SERVICE, kind="plain")
         for node in self.agents:
-            self.join(node)
+            self.join_target(node)
 
-    def join(self, node: Node) -> None:
+    def join_target(self, node: Node) -> None:
         """Join the target of an agent to the service of its kind."""
         plain = node.settings["engine"]["kind"] == "plain"
-        self.change(
+        self.make_change(
             "JoinTarget",
             service=PLAIN_SERVICE if plain else MODEL_SERVICE,
             target=node.settings["target"],
@@ -397,10 +397,12 @@
         relayed = {forward: listen for _, listen, forward in self.routes}
         return relayed.get(address, address)
 
-    def account(self, name: str, **fields: Any) -> str:
+    def create_account(self, name: str, **fields: Any) -> str:
         """Create an account and return its API key."""
         key = f"key-of-{name}"
-        self.change("PutAccount", account=name, key_digest=token_digest(key), **fields)
+        self.make_change(
+            "PutAccount", account=name, key_digest=token_digest(key), **fields
+        )
         return key
 
     def replace_agent(self, node: Node) -> Node:
@@ -415,10 +417,10 @@
         self.agents.append(second)
         second.managed.start()
         second.managed.wait_event("started")
-        self.join(second)
+        self.join_target(second)
         return second
 
-    def answers(self, node: Node) -> bool:
+    def is_answering(self, node: Node) -> bool:
         """Check whether a process answers a status request."""
         return self.get_json(node.http, "/status")["process"] != ""
 
@@ -432,7 +434,7 @@
         """Return the status that a process reports."""
         return self.get_json(node.http, "/status")
 
-    def wait(
+    def wait_until(
         self, what: str, check: Callable[[], bool], seconds: float = WAIT_SECONDS
     ) -> None:
         """Wait until a condition holds.
@@ -456,7 +458,7 @@
     def wait_serving(self, root: str, seconds: float = 120.0) -> None:
         """Wait until every model agent serves the version with a root digest."""
         for node in self.model_agents():
-            self.wait(
+            self.wait_until(
                 f"{node.managed.name} serves {root[:8]}",
                 lambda node=node: self.status(node)["serving"] == root,  # type: ignore[misc]
                 seconds,
@@ -465,7 +467,7 @@
     def wait_ready(self, seconds: float = 60.0) -> None:
         """Wait until every process is ready."""
         for node in [*self.entries, *self.agents]:
-            self.wait(
+            self.wait_until(
                 f"{node.managed.name} is ready",
                 lambda node=node: self.status(node)["ready"],  # type: ignore[misc]
                 seconds,
