--- a/src/ridgecourse_standins/demo.py
+++ b/src/ridgecourse_standins/demo.py
@@ -14,7 +14,7 @@
 from time import monotonic, sleep
 from typing import Any
 
-from ridgecourse_standins.caller import Answer, Caller, Load
+from ridgecourse_standins.client import Answer, LoadGenerator, VerifyingClient
 from ridgecourse_standins.cluster import (
     FLEET,
     MODEL_SERVICE,
@@ -41,7 +41,7 @@
     def __init__(self, cluster: Cluster, size: int) -> None:
         self.cluster = cluster
         self.size = size
-        self.client = Caller([], FLEET, "")
+        self.client = VerifyingClient([], FLEET, "")
 
     def run_ctl(self, *arguments: str) -> dict[str, Any]:
         """Run ``ridgecourse-ctl`` and return the JSON of its last line of output.
@@ -71,7 +71,7 @@
             *("--directory", str(directory)),
             *("--chunk-bytes", str(max(1024, self.size // 64))),
         )
-        return self.client.know(directory)
+        return self.client.add_version(directory)
 
     def roll_out(self, version: str) -> float:
         """Place a version, wait until all targets serve it, and return the seconds."""
@@ -86,8 +86,8 @@
         self.run_ctl("service", "create", FLEET, MODEL_SERVICE, "--kind", "model")
         self.run_ctl("service", "create", FLEET, PLAIN_SERVICE, "--kind", "plain")
         for node in self.cluster.agents:
-            self.cluster.join(node)
-        self.client.key = self.cluster.account("shop")
+            self.cluster.join_target(node)
+        self.client.key = self.cluster.create_account("shop")
         self.client.entries = [node.http for node in self.cluster.entries]
 
     def run(self) -> dict[str, Any]:
@@ -97,8 +97,8 @@
         print(f"version 1 served by all after {self.roll_out('v1'):.2f} s")
         second_root = self.publish("v2", seed=2)
         loads = [
-            Load(self.client, MODEL_SERVICE, 40, repeatable=True),
-            Load(self.client, PLAIN_SERVICE, 10, workers=8),
+            LoadGenerator(self.client, MODEL_SERVICE, 40, repeatable=True),
+            LoadGenerator(self.client, PLAIN_SERVICE, 10, workers=8),
         ]
         for load in loads:
             load.start()
@@ -149,7 +149,9 @@
 
 def count_incorrect(history: list[Answer]) -> int:
     """Return how many completed answers do not match the weights of one version."""
-    return sum(answer.outcome == "completed" and not answer.whole for answer in history)
+    return sum(
+        answer.outcome == "completed" and not answer.correct for answer in history
+    )
 
 
 def main() -> int:
--- a/src/ridgecourse_standins/engine.py
+++ b/src/ridgecourse_standins/engine.py
@@ -174,7 +174,7 @@
         expected = {location.digest for location in parsed.unwrap().unique_chunks()}
         if set(chunks) != expected:
             raise ValueError(f"{len(chunks)} chunks of {len(expected)}")
-        return Weights(join_files(parsed.unwrap().chunk_places(), chunks))
+        return Weights(join_files(parsed.unwrap().chunk_locations(), chunks))
 
     def _stream_chunks(self, order: LoadOrder) -> Iterator[tuple[str, bytes]]:
         """Yield digest and data of each chunk that the agent sends, after verification.
--- a/src/ridgecourse_standins/managed.py
+++ b/src/ridgecourse_standins/managed_process.py
@@ -20,7 +20,7 @@
     """A process ended, or an awaited event or condition did not occur in time."""
 
 
-class Managed:
+class ManagedProcess:
     """A Python process whose output goes to files.
 
     Attributes:
@@ -50,7 +50,7 @@
             )
 
     @property
-    def running(self) -> subprocess.Popen[bytes]:
+    def started_process(self) -> subprocess.Popen[bytes]:
         """The started process.
 
         Raises:
@@ -62,16 +62,16 @@
 
     def kill(self) -> None:
         """Kill the process and wait for its end."""
-        self.running.kill()
-        self.running.wait()
+        self.started_process.kill()
+        self.started_process.wait()
 
-    def freeze(self) -> None:
+    def pause(self) -> None:
         """Pause the process with SIGSTOP."""
-        self.running.send_signal(signal.SIGSTOP)
+        self.started_process.send_signal(signal.SIGSTOP)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Resume a paused process with SIGCONT."""
-        self.running.send_signal(signal.SIGCONT)
+        self.started_process.send_signal(signal.SIGCONT)
 
     def stop(self, seconds: float = 30.0) -> int:
         """Terminate the process with SIGTERM; return its exit code.
@@ -79,8 +79,8 @@
         Args:
             seconds: Maximum wait.
         """
-        self.running.terminate()
-        return self.running.wait(seconds)
+        self.started_process.terminate()
+        return self.started_process.wait(seconds)
 
     def close(self) -> None:
         """Kill the process if it is still running."""
@@ -122,7 +122,7 @@
             ]
             if len(matching) > after:
                 return matching[after]
-            if self.running.poll() is not None:
+            if self.started_process.poll() is not None:
                 raise ProcessFailed(f"{self.name} ended: {self.log_tail()}")
             sleep(POLL_SECONDS)
         raise ProcessFailed(
@@ -140,7 +140,7 @@
             for event in self.events():
                 if "listening" in event:
                     return event["listening"]
-            if self.running.poll() is not None:
+            if self.started_process.poll() is not None:
                 raise ProcessFailed(f"{self.name} ended: {self.log_tail()}")
             sleep(POLL_SECONDS)
         raise ProcessFailed(f"{self.name} did not listen in time: {self.log_tail()}")
--- a/src/ridgecourse_standins/oracle.py
+++ b/src/ridgecourse_standins/oracle.py
@@ -9,7 +9,7 @@
 
 from blake3 import blake3
 
-from ridgecourse.core.manifest import ChunkPlace
+from ridgecourse.core.manifest import ChunkLocation
 
 SAMPLE_BYTES = 64
 TOKEN_LENGTH = 8
@@ -50,7 +50,7 @@
 
 
 def join_files(
-    locations: Iterator[ChunkPlace], chunks: Mapping[str, bytes]
+    locations: Iterator[ChunkLocation], chunks: Mapping[str, bytes]
 ) -> dict[str, bytes]:
     """Return the files that chunks make up.
 
--- a/src/ridgecourse_standins/origin.py
+++ b/src/ridgecourse_standins/origin.py
@@ -79,7 +79,7 @@
             if stall_offset is not None and start >= stall_offset:
                 eventlet.sleep(3600)
             block = data[start : start + BLOCK_BYTES]
-            self.link.take(len(block))
+            self.link.acquire(len(block))
             self.sent[version] = self.sent.get(version, 0) + len(block)
             self.first_sent.setdefault(version, monotonic())
             self.last_sent[version] = monotonic()
--- a/src/ridgecourse_standins/platform/crashing.py
+++ b/src/ridgecourse_standins/platform/crashing_engines.py
@@ -7,7 +7,7 @@
 from ridgecourse_standins.platform.engine import (
     EngineStandIn,
     ReceivedRequest,
-    send_whole,
+    send_response,
 )
 
 CRASH_BODY = b"crash"
@@ -37,7 +37,7 @@
         self,
         count: int,
         list_engine: Callable[[EngineStandIn], str],
-        behaviour: Callable[[ReceivedRequest], None] = send_whole,
+        behaviour: Callable[[ReceivedRequest], None] = send_response,
         before_crash: Callable[[ReceivedRequest], None] = lambda _: None,
     ) -> None:
         self.count = count
@@ -45,8 +45,8 @@
         self.behaviour = behaviour
         self.before_crash = before_crash
         self.incarnations: list[EngineStandIn] = []
-        self.living: set[EngineStandIn] = set()
-        self.ends: list[float] = []
+        self.running: set[EngineStandIn] = set()
+        self.crash_times: list[float] = []
         self.timers: list[Timer] = []
         self.lock = Lock()
         self.changed = Condition()
@@ -65,15 +65,15 @@
         for engine in self.incarnations:
             engine.close()
 
-    def end(self, engine: EngineStandIn) -> None:
+    def crash(self, engine: EngineStandIn) -> None:
         """Crash an engine once; a new engine replaces it after ``RESTART_SECONDS``."""
         with self.lock:
-            if engine not in self.living:
+            if engine not in self.running:
                 return
-            self.living.discard(engine)
+            self.running.discard(engine)
         engine.kill()
         with self.changed:
-            self.ends.append(monotonic())
+            self.crash_times.append(monotonic())
             self.changed.notify_all()
         timer = Timer(RESTART_SECONDS, self._start_engine)
         timer.daemon = True
@@ -92,12 +92,12 @@
     def _start_engine(self) -> None:
         if self.closed:
             return
-        engine = EngineStandIn(send_whole)
+        engine = EngineStandIn(send_response)
         engine.behaviour = self._make_behaviour(engine)
         engine.start()
         with self.lock:
             self.incarnations.append(engine)
-            self.living.add(engine)
+            self.running.add(engine)
         self.list_engine(engine)
 
     def _make_behaviour(
@@ -109,7 +109,7 @@
                 return
             self.before_crash(request)
             timer = Timer(
-                CRASH_DELAY_SECONDS, Thread(target=self.end, args=(engine,)).start
+                CRASH_DELAY_SECONDS, Thread(target=self.crash, args=(engine,)).start
             )
             timer.daemon = True
             timer.start()
--- a/src/ridgecourse_standins/platform/engine.py
+++ b/src/ridgecourse_standins/platform/engine.py
@@ -16,7 +16,11 @@
 from threading import Condition, Event, Thread
 from time import time_ns
 
-from ridgecourse.platform.names import ATTEMPT_ID, NOT_RUN, SIGNATURE
+from ridgecourse.platform.names import (
+    ATTEMPT_ID_HEADER,
+    NOT_EXECUTED_HEADER,
+    SIGNATURE_HEADER,
+)
 
 
 @dataclass
@@ -31,7 +35,7 @@
         closed: Set once the peer has closed the connection.
     """
 
-    line: str
+    request_line: str
     headers: list[tuple[str, str]]
     body: bytes
     connection: socket
@@ -115,9 +119,9 @@
         self.thread.join()
         for request in self.requests:
             with suppress(OSError):
-                reset(request)
+                reset_connection(request)
 
-    def restart(self, at_new_port: bool = False) -> "EngineStandIn":
+    def next_incarnation(self, at_new_port: bool = False) -> "EngineStandIn":
         """Return the next incarnation, not started, without state of this one.
 
         Args:
@@ -129,15 +133,17 @@
         born = max(now_ms(), (self.born or 0) + 1)
         return EngineStandIn(self.behaviour, host, next_port, born)
 
-    def freeze(self) -> None:
+    def pause(self) -> None:
         """Pause answering; connections stay open."""
         self.resumed.clear()
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Resume answering, including the requests received during the pause."""
         self.resumed.set()
 
-    def wait_for(self, count: int, seconds: float = 10.0) -> list[ReceivedRequest]:
+    def wait_for_requests(
+        self, count: int, seconds: float = 10.0
+    ) -> list[ReceivedRequest]:
         """Return the requests once at least ``count`` requests arrived.
 
         Raises:
@@ -150,7 +156,9 @@
                 )
             return list(self.requests)
 
-    def wait_closed(self, request: ReceivedRequest, seconds: float = 10.0) -> bool:
+    def wait_until_closed(
+        self, request: ReceivedRequest, seconds: float = 10.0
+    ) -> bool:
         """Check whether the peer closes the connection of a request in time."""
         with self.changed:
             return self.changed.wait_for(lambda: request.closed, seconds)
@@ -219,13 +227,16 @@
 
     Headers that frame the body are left to the callers of this function.
     """
-    lines = [f"HTTP/1.1 {status}", f"{ATTEMPT_ID}: {request.header(ATTEMPT_ID) or ''}"]
+    lines = [
+        f"HTTP/1.1 {status}",
+        f"{ATTEMPT_ID_HEADER}: {request.header(ATTEMPT_ID_HEADER) or ''}",
+    ]
     if signed:
-        lines.append(f"{SIGNATURE}: signed-by-engine")
+        lines.append(f"{SIGNATURE_HEADER}: signed-by-engine")
     return lines
 
 
-def send_whole(
+def send_response(
     request: ReceivedRequest,
     body: bytes = b"answer",
     status: str = "200 OK",
@@ -249,7 +260,9 @@
 
 def refuse(request: ReceivedRequest, status: str = "503 Service Unavailable") -> None:
     """Answer that the request was not run, without a signature."""
-    send_whole(request, b"", status, signed=False, extra=(f"{NOT_RUN}: 1",))
+    send_response(
+        request, b"", status, signed=False, extra=(f"{NOT_EXECUTED_HEADER}: 1",)
+    )
 
 
 def send_stream_head(request: ReceivedRequest) -> None:
@@ -259,7 +272,7 @@
     request.connection.sendall("\r\n".join([*lines, "", ""]).encode())
 
 
-def event(number: int) -> bytes:
+def format_event(number: int) -> bytes:
     """Return the server-sent event with a number."""
     return f"id: {number}\ndata: piece {number}\n\n".encode()
 
@@ -272,10 +285,10 @@
 def send_events(request: ReceivedRequest, first: int, last: int) -> None:
     """Send the events ``first`` to ``last``, each in a chunk of its own."""
     for number in range(first, last + 1):
-        send_chunk(request, event(number))
+        send_chunk(request, format_event(number))
 
 
-def reset(request: ReceivedRequest) -> None:
+def reset_connection(request: ReceivedRequest) -> None:
     """Close the connection of a request with a TCP reset."""
     request.connection.setsockopt(SOL_SOCKET, SO_LINGER, pack("ii", 1, 0))
     # Wakes the thread in ``_wait_for_close``, which would otherwise keep the
--- a/src/ridgecourse_standins/platform/loader.py
+++ b/src/ridgecourse_standins/platform/loader.py
@@ -9,10 +9,10 @@
 from ridgecourse.core.engine_load import EngineStatus
 from ridgecourse.core.ids import WeightsVersion
 from ridgecourse.wire.codec import encode_message
-from ridgecourse.wire.control import EngineReport, GatewaysChanged, Named
+from ridgecourse.wire.control import EngineReport, GatewaysChanged, VersionAges
 
 REPORT_SECONDS = 0.05
-IDLE = EngineStatus(WeightsVersion(1), False, 0, 0, 0, 317_000)
+IDLE_STATUS = EngineStatus(WeightsVersion(1), False, 0, 0, 0, 317_000)
 """Load of an idle engine."""
 
 
@@ -27,10 +27,12 @@
         server: WebSocket server.
     """
 
-    def __init__(self, host: str, port: int, status: EngineStatus = IDLE) -> None:
+    def __init__(
+        self, host: str, port: int, status: EngineStatus = IDLE_STATUS
+    ) -> None:
         self.status = status
-        self.told: EngineStatus | None = None
-        self.watchers = 0
+        self.last_reported: EngineStatus | None = None
+        self.connection_count = 0
         self.closed = False
         self.server: Any = serve(self._send_reports, host, port, compression=None)
         self.thread = Thread(target=self.server.serve_forever, daemon=True)
@@ -46,9 +48,9 @@
 
     def _send_reports(self, connection: ServerConnection) -> None:
         connection.recv(5.0)
-        self.watchers += 1
+        self.connection_count += 1
         try:
-            connection.send(encode_message(Named([])))
+            connection.send(encode_message(VersionAges([])))
             connection.send(encode_message(GatewaysChanged([], [])))
             number = 0
             while not self.closed:
@@ -57,7 +59,7 @@
                 number += 1
                 status = self.status
                 connection.send(encode_message(EngineReport(status, number)))
-                self.told = status
+                self.last_reported = status
                 try:
                     connection.recv(REPORT_SECONDS)
                 except TimeoutError:
--- a/src/ridgecourse_standins/platform/store.py
+++ b/src/ridgecourse_standins/platform/store.py
@@ -103,18 +103,18 @@
         }
         self.earliest_offsets = dict.fromkeys(self.topics, 0)
         self.appended: list[tuple[str, str, bytes]] = []
-        self.newest_asked: list[tuple[str, str]] = []
-        self.asked: list[tuple[str, str]] = []
+        self.newest_reads: list[tuple[str, str]] = []
+        self.offset_reads: list[tuple[str, str]] = []
         self.delayed_writes: list[tuple[str, bytes, int | None]] | None = None
-        self.told: dict[str, list[tuple[str, str, bytes]]] = {}
+        self.delivered: dict[str, list[tuple[str, str, bytes]]] = {}
         self.bytes_per_s: float | None = None
         self.link = Link()
         self.sending_count = 0
-        self.most_sending = 0
-        self.narrow: dict[str, float] = {}
-        self.turned_away: set[str] = set()
-        self.answer_seconds = 0.0
-        self.named_at: dict[tuple[str, int], float] = {}
+        self.max_sending_count = 0
+        self.reader_rates: dict[str, float] = {}
+        self.refused_readers: set[str] = set()
+        self.answer_delay_seconds = 0.0
+        self.version_put_at: dict[tuple[str, int], float] = {}
         self.calls = 0
         self.condition = Condition()
         self.closed = False
@@ -155,7 +155,7 @@
         """Publish the version of the weights that a model is to use."""
         key = f"{VERSION_KEY_PREFIX}{model}"
         self.put(DECISIONS_TOPIC, key, {"model": model, "version": version})
-        self.named_at[model, version] = monotonic()
+        self.version_put_at[model, version] = monotonic()
 
     def put_target(self, target: str, entry: dict[str, Any] | None) -> None:
         """Publish the entry of a target; None removes the target from the list."""
@@ -187,31 +187,31 @@
             self.condition.notify_all()
         return 200, encode({"offset": offset, "end_offset": offset + len(records)})
 
-    def hold_writes_back(self) -> None:
+    def delay_writes(self) -> None:
         """Delay all following writes: keep them without applying or answering them."""
         self.delayed_writes = []
 
-    def wait_held_back(self, seconds: float = 3.0) -> bool:
+    def wait_for_delayed_write(self, seconds: float = 3.0) -> bool:
         """Check whether a write is delayed within a time limit."""
         with self.condition:
             return self.condition.wait_for(lambda: bool(self.delayed_writes), seconds)
 
-    def answer_writes(self) -> None:
+    def resume_writes(self) -> None:
         """Apply and answer writes again; delayed writes become late writes."""
         with self.condition:
             self.late_writes, self.delayed_writes = self.delayed_writes or [], None
 
-    def do_late_writes(self) -> None:
+    def apply_late_writes(self) -> None:
         """Apply the late writes whose expected end offset still matches."""
         for topic, data, expected_end in self.late_writes:
             self.append(topic, data, expected_end)
 
-    def wait_appended(self, count: int, seconds: float = 3.0) -> bool:
+    def wait_for_appends(self, count: int, seconds: float = 3.0) -> bool:
         """Check whether tested processes append ``count`` records in time."""
         with self.condition:
             return self.condition.wait_for(lambda: len(self.appended) >= count, seconds)
 
-    def forget_history(self, topic: str) -> None:
+    def compact_topic(self, topic: str) -> None:
         """Make all records of a topic unreadable except the newest of each key."""
         with self.condition:
             self.earliest_offsets[topic] = len(self.topics[topic])
@@ -301,8 +301,8 @@
         length = int(handler.headers.get("Content-Length", "0"))
         host = handler.client_address[0]
         status, body = self._handle(host, handler.path, handler.rfile.read(length))
-        sleep(self.answer_seconds)
-        if self.mode is StoreMode.DOWN or host in self.turned_away:
+        sleep(self.answer_delay_seconds)
+        if self.mode is StoreMode.DOWN or host in self.refused_readers:
             status, body = 503, b""
         if status == 0:
             handler.close_connection = True
@@ -315,7 +315,7 @@
 
     def _send(self, handler: BaseHTTPRequestHandler, body: bytes) -> None:
         """Send a body at the rate of the link to the reader."""
-        reader_rate = self.narrow.get(handler.client_address[0])
+        reader_rate = self.reader_rates.get(handler.client_address[0])
         rate = reader_rate or self.bytes_per_s
         if rate is None:
             handler.wfile.write(body)
@@ -334,16 +334,16 @@
     def _change_sending_count(self, change: int) -> None:
         with self.condition:
             self.sending_count += change
-            self.most_sending = max(self.most_sending, self.sending_count)
+            self.max_sending_count = max(self.max_sending_count, self.sending_count)
 
     def _handle(self, host: str, target: str, data: bytes) -> tuple[int, bytes]:
         parts = urlsplit(target)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         if parts.path == LOG_NEWEST_PATH:
-            self.newest_asked.append((host, query["topic"]))
+            self.newest_reads.append((host, query["topic"]))
             return 200, self.newest(query["topic"])
         if parts.path == LOG_READ_PATH:
-            self.asked.append((host, query["topic"]))
+            self.offset_reads.append((host, query["topic"]))
             wait_seconds = int(query.get("wait_ms", "0")) / 1000
             max_bytes = int(query.get("max_kb", "1024")) * 1024
             batch = self.read(
@@ -352,7 +352,7 @@
             if batch is None:
                 return 410, b"{}"
             delivered = [(query["topic"], *record) for record in batch[1]]
-            self.told.setdefault(host, []).extend(delivered)
+            self.delivered.setdefault(host, []).extend(delivered)
             return 200, batch[0]
         if parts.path == LOG_APPEND_PATH:
             end = query.get("current_rev")
--- a/src/ridgecourse_standins/platform/weights.py
+++ b/src/ridgecourse_standins/platform/weights.py
@@ -11,7 +11,7 @@
 from msgspec.json import decode, encode
 
 from ridgecourse.platform.names import (
-    CHUNK_INDEX,
+    CHUNK_INDEX_PARAMETER,
     CHUNK_PATH,
     MANIFEST_PATH,
     ORDER_PATH,
@@ -38,8 +38,8 @@
 
     def __init__(self, host: str = "127.0.0.1") -> None:
         self.calls: list[tuple[str, str]] = []
-        self.away = False
-        self.turned_away = 0
+        self.unreachable = False
+        self.dropped_connections = 0
         self.changed = Condition()
         self.server = ThreadingHTTPServer((host, 0), self._make_handler())
         self.server.daemon_threads = True
@@ -93,9 +93,9 @@
             def _answer(self) -> None:
                 length = int(self.headers.get("Content-Length") or 0)
                 body = self.rfile.read(length)
-                if stand_in.away:
+                if stand_in.unreachable:
                     with stand_in.changed:
-                        stand_in.turned_away += 1
+                        stand_in.dropped_connections += 1
                         stand_in.changed.notify_all()
                     self.close_connection = True
                     return
@@ -148,13 +148,13 @@
         self.staged: dict[int, bytes] = {}
         self.version = 0
         self.orders = 0
-        self.started: dict[int, dict[int, bytes]] = {}
-        self.spoil: Callable[[dict[int, bytes]], None] = lambda staged: None
-        self.late: bytes | None = None
-        self.late_until = 0.0
+        self.staged_at_start: dict[int, dict[int, bytes]] = {}
+        self.corrupt_staged: Callable[[dict[int, bytes]], None] = lambda staged: None
+        self.late_chunk: bytes | None = None
+        self.late_deadline = 0.0
         self.born: Any = None
         self.busy = False
-        self.looked_at: Callable[[int], None] = lambda index: None
+        self.on_staging_read: Callable[[int], None] = lambda index: None
 
     def restart(self, keeps_staged: bool = True, busy: bool = False) -> None:
         """Start a new incarnation with the same identity, without version or orders.
@@ -167,7 +167,7 @@
         with self.changed:
             self.version = self.orders = 0
             self.busy = busy
-            self.started.clear()
+            self.staged_at_start.clear()
             self.born = max(now_ms(), (self.born or 0) + 1)
             if not keeps_staged:
                 self.staged.clear()
@@ -178,23 +178,23 @@
     ) -> StatusAndBody:
         """Answer a report request, a start order or a call to the staging area."""
         if path == REPORT_PATH:
-            return 200, encode(self.describe())
+            return 200, encode(self.make_report())
         if path == ORDER_PATH:
             return self._start(decode(body))
-        if path.startswith(STAGE_PUT_PATH) and body == self.late:
-            self.late_until = monotonic() + LATE_SECONDS
+        if path.startswith(STAGE_PUT_PATH) and body == self.late_chunk:
+            self.late_deadline = monotonic() + LATE_SECONDS
             return 504, b""
         if path.startswith(STAGE_PUT_PATH):
-            self.staged[int(query[CHUNK_INDEX])] = body
-            self.spoil(self.staged)
+            self.staged[int(query[CHUNK_INDEX_PARAMETER])] = body
+            self.corrupt_staged(self.staged)
             return 200, b""
         if path.startswith(STAGE_GET_PATH):
-            data = self.staged.get(int(query[CHUNK_INDEX]))
-            self.looked_at(int(query[CHUNK_INDEX]))
+            data = self.staged.get(int(query[CHUNK_INDEX_PARAMETER]))
+            self.on_staging_read(int(query[CHUNK_INDEX_PARAMETER]))
             return (404, b"") if data is None else (200, data)
         return 404, b""
 
-    def describe(self) -> dict[str, Any]:
+    def make_report(self) -> dict[str, Any]:
         """Return the fields of the report of the engine."""
         report: dict[str, Any] = {"utilization": self.busy, "sequence": self.orders}
         if self.born is not None:
@@ -209,13 +209,13 @@
 
     def _start(self, order: dict[str, Any]) -> StatusAndBody:
         self.orders += 1
-        if self.late is not None and monotonic() < self.late_until:
+        if self.late_chunk is not None and monotonic() < self.late_deadline:
             # The late write takes effect at the worst moment: after the last check of
             # the staged chunks.
-            self.staged[0] = self.late
+            self.staged[0] = self.late_chunk
         self.busy = False
         self.version = order["version"]
-        self.started[self.version] = dict(self.staged)
+        self.staged_at_start[self.version] = dict(self.staged)
         return 202, b""
 
 
@@ -234,14 +234,14 @@
     def __init__(self) -> None:
         super().__init__()
         self.versions: dict[int, list[bytes]] = {}
-        self.spoilt: set[tuple[int, int]] = set()
-        self.hold_after: int | None = None
+        self.corrupt_chunks: set[tuple[int, int]] = set()
+        self.send_limit: int | None = None
         self.sent = 0
 
     def release(self) -> None:
         """Remove the limit and send the chunks that were held back."""
         with self.changed:
-            self.hold_after = None
+            self.send_limit = None
             self.changed.notify_all()
 
     def answer(
@@ -258,12 +258,12 @@
         if path.startswith(CHUNK_PATH):
             self.changed.notify_all()
             self.changed.wait_for(
-                lambda: self.hold_after is None or self.sent < self.hold_after
+                lambda: self.send_limit is None or self.sent < self.send_limit
             )
             self.sent += 1
-            index = int(query[CHUNK_INDEX])
-            if (version, index) in self.spoilt:
-                self.spoilt.discard((version, index))
+            index = int(query[CHUNK_INDEX_PARAMETER])
+            if (version, index) in self.corrupt_chunks:
+                self.corrupt_chunks.discard((version, index))
                 return 200, bytes(len(chunks[index]))
             return 200, chunks[index]
         return 404, b""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 from known_red import read_known_red
 
 from ridgecourse.ctl.publish import make_manifest, write_manifest
-from ridgecourse_standins.caller import Caller
+from ridgecourse_standins.client import VerifyingClient
 from ridgecourse_standins.cluster import FLEET, MODEL_SERVICE, Cluster, Plan
 from ridgecourse_standins.models import make_version
 
@@ -21,7 +21,7 @@
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
         cluster.set_up()
-        self.caller = Caller([], FLEET, cluster.account("shop"))
+        self.caller = VerifyingClient([], FLEET, cluster.create_account("shop"))
         self.caller.entries = [node.http for node in cluster.entries]
 
     def write(self, version: str, seed: int, size: int = SIZE) -> tuple[Path, str]:
@@ -32,7 +32,7 @@
     def rewrite_manifest(self, directory: Path) -> str:
         manifest = make_manifest(directory, CHUNK, lambda _: None).unwrap()
         write_manifest(directory, manifest)
-        return self.caller.know(directory)
+        return self.caller.add_version(directory)
 
     def write_large(self, version: str) -> str:
         return self.write(version, 9, 8 * SIZE)[1]
@@ -43,7 +43,7 @@
         return root
 
     def publish_root(self, version: str, root: str) -> None:
-        self.cluster.change(
+        self.cluster.make_change(
             "PublishVersion",
             model="m",
             version=version,
@@ -53,7 +53,9 @@
         )
 
     def place(self, version: str) -> None:
-        self.cluster.change("Place", service=MODEL_SERVICE, model="m", version=version)
+        self.cluster.make_change(
+            "Place", service=MODEL_SERVICE, model="m", version=version
+        )
 
     def roll_out(self, version: str, seed: int) -> str:
         root = self.publish(version, seed)
@@ -66,13 +68,13 @@
 
     def wait_seen(self, entry: int) -> None:
         """Wait until an entry sees all model targets ready."""
-        self.cluster.wait(
+        self.cluster.wait_until(
             f"entry {entry} sees all ready",
             lambda: all(t.get("ready") for t in self.targets(entry)),
         )
 
     def targets(self, entry: int) -> list[dict[str, Any]]:
-        reply = self.cluster.admin(
+        reply = self.cluster.call_admin(
             "ShowRollout", entry, fleet=FLEET, service=MODEL_SERVICE
         )
         return reply["targets"]
--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -7,13 +7,13 @@
 import pytest
 from msgspec.json import encode
 
-from ridgecourse_standins.managed import Managed
+from ridgecourse_standins.managed_process import ManagedProcess
 from ridgecourse_standins.platform.engine import (
     Behaviour,
     EngineStandIn,
-    send_whole,
+    send_response,
 )
-from ridgecourse_standins.platform.site import (
+from ridgecourse_standins.platform.sample_settings import (
     HOST,
     KEY,
     LARGE_ROUTES,
@@ -78,7 +78,7 @@
         self.path = directory / "node.json"
         self.path.write_bytes(encode(self.settings))
         command = ["-m", "ridgecourse.platform.gateway_main", str(self.path)]
-        self.gateway = Managed("gateway", command, directory)
+        self.gateway = ManagedProcess("gateway", command, directory)
         self.engines: list[EngineStandIn] = []
         self.connections: list[socket.socket] = []
         self.attempts = 0
@@ -91,7 +91,7 @@
     def add_engine(
         self,
         service: str,
-        behaviour: Behaviour = send_whole,
+        behaviour: Behaviour = send_response,
         target: str = "",
         zone: str = "a",
         version: int = 1,
--- a/tests/platform/foreign_reader.py
+++ b/tests/platform/foreign_reader.py
@@ -19,7 +19,7 @@
 )
 from ridgecourse.net.events import EventKind, EventStream
 from ridgecourse.net.record_source import Topic
-from ridgecourse.platform.records import PlatformRecords
+from ridgecourse.platform.records import PlatformRecordDecoder
 from ridgecourse.platform.store import PlatformStore
 
 ENTRY: dict[str, Any] = {
@@ -65,7 +65,7 @@
 
     def emit(self, kind: EventKind, *_: Any, **detail: Any) -> None:
         encode(detail)
-        self.figures.count(kind.value)
+        self.metrics.count(kind.value)
         self.noted.append((kind, detail))
 
     def bad(self) -> list[dict[str, Any]]:
@@ -78,7 +78,7 @@
     def __init__(self) -> None:
         self.events = NotedEvents()
         self.keeper = Mock()
-        decoder = PlatformRecords()
+        decoder = PlatformRecordDecoder()
         self.view = ClusterView(Mock(), self.keeper, decoder, self.events, 8.0)
         self.end = 0
 
@@ -93,7 +93,7 @@
         store = PlatformStore("store:1", Answers(answer))  # type: ignore[arg-type]
         batch = store.read(topic, Offset(start), 0.0)
         assert batch.end == self.end
-        self.view.take(topic, batch, False)
+        self.view.apply(topic, batch, False)
 
     def list(self, *entries: tuple[str, Any]) -> None:
         self.read(Topic.TARGETS, *((key.encode(), encode(e)) for key, e in entries))
@@ -102,7 +102,9 @@
         self.read(Topic.DECISIONS, (key.encode(), encode(decision)))
 
     def serving(self) -> set[str]:
-        return {target.target for target in self.view.serving(ServiceName("llm"))}
+        return {
+            target.target for target in self.view.serving_targets(ServiceName("llm"))
+        }
 
 
 def raw_record(key: bytes, value: bytes) -> bytes:
--- a/tests/platform/test_border_reads.py
+++ b/tests/platform/test_border_reads.py
@@ -74,7 +74,7 @@
         return {
             host
             for host in LOADERS
-            for topic, key, _ in list(self.store.told.get(host, ()))
+            for topic, key, _ in list(self.store.delivered.get(host, ()))
             if (topic, key) == (DECISIONS_TOPIC, CONFIG_KEY)
         }
 
@@ -103,5 +103,5 @@
     begun = monotonic()
     border.wait_folded(border.version)
     assert monotonic() - begun < SETTLED_SECONDS
-    assert border.store.most_sending <= MOST_AT_ONCE
+    assert border.store.max_sending_count <= MOST_AT_ONCE
     assert not border.loaders_told()
--- a/tests/platform/test_crash_news.py
+++ b/tests/platform/test_crash_news.py
@@ -8,10 +8,13 @@
 import pytest
 from test_engine_limits import make_peers
 
+from ridgecourse.core.crash_reports import (
+    Flight,
+)
 from ridgecourse.core.crash_suspects import (
-    Verdict,
+    SendDecision,
 )
-from ridgecourse.core.engine_life import EngineLife
+from ridgecourse.core.engine_incarnation import EngineIncarnation
 from ridgecourse.core.hubs import Peer
 from ridgecourse.core.ids import (
     EngineStart,
@@ -20,14 +23,11 @@
     RequestSignature,
     TargetId,
 )
-from ridgecourse.core.suspect import (
-    Flight,
-)
 from ridgecourse.gateway.crash_watch import CrashWatch
 from ridgecourse.gateway.gateway_link import GatewayLink
 from ridgecourse.net.address import Address, parse_address
 from ridgecourse.net.clock import boottime
-from ridgecourse.wire.control import CrashNews
+from ridgecourse.wire.control import CrashReports
 
 SIZES = (6, 40, 98)
 REQUESTS = 16
@@ -58,26 +58,26 @@
         link.send = self.send  # type: ignore[method-assign]
         return CrashWatch(site, Mock(), link, Mock())
 
-    def send(self, message: CrashNews, addresses: list[Address]) -> None:
+    def send(self, message: CrashReports, addresses: list[Address]) -> None:
         for address in addresses:
             self.sent += 1
             for peer in self.peers:
                 if parse_address(peer.control_address).host == address.host:
-                    self.gateways[peer.name].take_news(message)
+                    self.gateways[peer.name].apply_reports(message)
 
     def end(self, number: int, signatures: list[RequestSignature]) -> None:
         """End an engine under requests of gateways one after the other."""
-        life = EngineLife(TargetId(f"i-{number}"), EngineStart(number))
+        life = EngineIncarnation(TargetId(f"i-{number}"), EngineStart(number))
         names = list(self.gateways)
         for turn, signature in enumerate(signatures):
             gateway = self.gateways[names[(number + turn) % len(names)]]
-            gateway.ended[life] = None
+            gateway.ended_incarnations[life] = None
             flight = Flight(RequestId("attempt"), signature, life, "127.0.0.1:1")
-            gateway.note_disconnect(flight)
+            gateway.record_disconnect(flight)
 
-    def verdicts(self, signature: RequestSignature) -> set[Verdict]:
+    def verdicts(self, signature: RequestSignature) -> set[SendDecision]:
         return {
-            gateway.suspects.judge(signature, boottime())
+            gateway.suspects.check(signature, boottime())
             for gateway in self.gateways.values()
         }
 
@@ -94,6 +94,6 @@
     site = Site(count)
     for number in range(3):
         site.end(number, [CRASHING])
-    assert site.verdicts(CRASHING) == {Verdict.BLOCKED}
+    assert site.verdicts(CRASHING) == {SendDecision.BLOCKED}
     # Each later mark once to all, and what two of those who gather it complete.
     assert site.sent <= 8 * count
--- a/tests/platform/test_crash_suspects.py
+++ b/tests/platform/test_crash_suspects.py
@@ -6,13 +6,17 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
+from ridgecourse.core.crash_reports import (
+    STRIKE_SECONDS,
+    CrashReport,
+)
 from ridgecourse.core.crash_suspects import (
-    BLOCKING_MARKS,
-    MOST_SUSPECTS,
+    BLOCKING_STRIKES,
+    MAX_SUSPECTS,
     CrashSuspects,
-    Verdict,
+    SendDecision,
 )
-from ridgecourse.core.engine_life import EngineLife
+from ridgecourse.core.engine_incarnation import EngineIncarnation
 from ridgecourse.core.ids import (
     AccountName,
     EngineStart,
@@ -22,10 +26,6 @@
     TargetId,
 )
 from ridgecourse.core.request_signature import sign_request
-from ridgecourse.core.suspect import (
-    MARK_SECONDS,
-    SuspectNews,
-)
 
 GATEWAYS = 5
 CRASHING = RequestSignature(b"crashing")
@@ -34,8 +34,8 @@
 HOST = ProcessName("other")
 
 
-def life(number: int) -> EngineLife:
-    return EngineLife(TargetId(f"i-{number}"), EngineStart(number))
+def life(number: int) -> EngineIncarnation:
+    return EngineIncarnation(TargetId(f"i-{number}"), EngineStart(number))
 
 
 def at(seconds: float) -> Seconds:
@@ -46,12 +46,12 @@
     suspects = CrashSuspects()
     for signature, numbers in ends.items():
         for number in numbers:
-            suspects.note_end(signature, life(number), at(number))
+            suspects.record_end(signature, life(number), at(number))
     return suspects
 
 
 class Letter(NamedTuple):
-    news: SuspectNews
+    news: CrashReport
     sender: int
     receiver: int
 
@@ -59,7 +59,7 @@
 class Flight(NamedTuple):
     gateway: int
     signature: RequestSignature
-    life: EngineLife
+    incarnation: EngineIncarnation
 
 
 class Gateways(RuleBasedStateMachine):
@@ -73,7 +73,7 @@
         self.flights: list[Flight] = []
         self.cut: set[int] = set()
         self.engines = 0
-        self.ends: dict[RequestSignature, dict[EngineLife, float]] = {
+        self.ends: dict[RequestSignature, dict[EngineIncarnation, float]] = {
             signature: {} for signature in ALL
         }
         self.answered: dict[RequestSignature, float] = {}
@@ -86,7 +86,7 @@
         return (first in self.cut) == (second in self.cut)
 
     def tell(self, gateway: int, signature: RequestSignature) -> None:
-        news = self.gateways[gateway].tell(signature, at(self.now))
+        news = self.gateways[gateway].make_report(signature, at(self.now))
         for other in range(GATEWAYS):
             if other != gateway and self.together(gateway, other):
                 self.letters.append(Letter(news, gateway, other))
@@ -100,10 +100,10 @@
         """Send a request if that is allowed, away from the engines to be avoided."""
         now = self.pass_time()
         suspects = self.gateways[gateway]
-        if suspects.judge(signature, now) is not Verdict.FREE:
+        if suspects.check(signature, now) is not SendDecision.FREE:
             return
-        busy = {flight.life for flight in self.flights}
-        shared = sorted(busy - set(suspects.avoided(signature, now)), key=str)
+        busy = {flight.incarnation for flight in self.flights}
+        shared = sorted(busy - set(suspects.engines_to_avoid(signature, now)), key=str)
         self.engines += 1
         target = shared[0] if shared and self.engines % 2 else life(self.engines)
         suspects.begin(signature, target)
@@ -115,29 +115,31 @@
         """Let a request finish: the crashing one ends its engine, others are served."""
         flight = self.flights[index % len(self.flights)]
         if flight.signature == CRASHING:
-            self.end(flight.life)
+            self.end(flight.incarnation)
             return
         now = self.pass_time()
         self.flights.remove(flight)
         suspects = self.gateways[flight.gateway]
         self.answered[flight.signature] = now
-        if suspects.note_success(flight.signature, now):
+        if suspects.record_success(flight.signature, now):
             self.tell(flight.gateway, flight.signature)
-        suspects.finish(flight.signature, flight.life)
+        suspects.finish(flight.signature, flight.incarnation)
 
     @precondition(lambda self: self.flights)
     @rule(index=st.integers(0, 99))
     def end_by_itself(self, index: int) -> None:
-        self.end(self.flights[index % len(self.flights)].life)
+        self.end(self.flights[index % len(self.flights)].incarnation)
 
-    def end(self, ended: EngineLife) -> None:
+    def end(self, ended: EngineIncarnation) -> None:
         now = self.pass_time()
-        hit = [flight for flight in self.flights if flight.life == ended]
-        self.flights = [flight for flight in self.flights if flight.life != ended]
+        hit = [flight for flight in self.flights if flight.incarnation == ended]
+        self.flights = [
+            flight for flight in self.flights if flight.incarnation != ended
+        ]
         for flight in hit:
             self.ends[flight.signature].setdefault(ended, now)
             suspects = self.gateways[flight.gateway]
-            suspects.note_end(flight.signature, ended, now)
+            suspects.record_end(flight.signature, ended, now)
             suspects.finish(flight.signature, ended)
             self.tell(flight.gateway, flight.signature)
 
@@ -150,7 +152,9 @@
             self.letters.remove(letter)
         if not lost and self.together(letter.sender, letter.receiver):
             suspects = self.gateways[letter.receiver]
-            suspects.take(letter.news, ProcessName(str(letter.sender)), at(self.now))
+            suspects.apply_report(
+                letter.news, ProcessName(str(letter.sender)), at(self.now)
+            )
 
     @rule(gateway=st.integers(0, GATEWAYS - 1))
     def cut_off(self, gateway: int) -> None:
@@ -176,9 +180,9 @@
     def exchange(self, sender: int, receiver: int) -> None:
         suspects = self.gateways[sender]
         for signature in list(suspects.suspects):
-            news = suspects.tell(signature, at(self.now))
+            news = suspects.make_report(signature, at(self.now))
             name = ProcessName(str(sender))
-            self.gateways[receiver].take(news, name, at(self.now))
+            self.gateways[receiver].apply_report(news, name, at(self.now))
 
     @rule()
     def settle(self) -> None:
@@ -194,10 +198,10 @@
         blocked = {gateway.find_blocked(now) for gateway in self.gateways}
         assert len(blocked) == 1
         for signature in blocked.pop():
-            assert self.marks_since_answer(signature) >= BLOCKING_MARKS
-        if self.marks_since_answer(CRASHING) >= BLOCKING_MARKS:
-            verdicts = {each.judge(CRASHING, now) for each in self.gateways}
-            assert verdicts == {Verdict.BLOCKED}
+            assert self.marks_since_answer(signature) >= BLOCKING_STRIKES
+        if self.marks_since_answer(CRASHING) >= BLOCKING_STRIKES:
+            verdicts = {each.check(CRASHING, now) for each in self.gateways}
+            assert verdicts == {SendDecision.BLOCKED}
 
 
 TestGateways = Gateways.TestCase
@@ -206,73 +210,73 @@
 
 def test_a_request_with_fewer_ends_is_not_blamed_for_those_of_another() -> None:
     suspects = suspects_with({CRASHING: [1, 2, 3, 4], HARMLESS[0]: [1, 2, 3]})
-    assert suspects.judge(CRASHING, at(5)) is Verdict.BLOCKED
-    assert suspects.judge(HARMLESS[0], at(5)) is Verdict.FREE
-    assert suspects.count_marks(HARMLESS[0], at(5)) == 0
+    assert suspects.check(CRASHING, at(5)) is SendDecision.BLOCKED
+    assert suspects.check(HARMLESS[0], at(5)) is SendDecision.FREE
+    assert suspects.count_strikes(HARMLESS[0], at(5)) == 0
 
 
 def test_an_answer_clears_a_request_also_of_an_end_that_is_told_late() -> None:
     suspects = suspects_with({HARMLESS[0]: [1, 2]})
-    assert suspects.note_success(HARMLESS[0], at(10))
-    assert suspects.judge(HARMLESS[0], at(11)) is Verdict.FREE
-    suspects.note_end(HARMLESS[0], life(9), at(9))
-    assert suspects.count_marks(HARMLESS[0], at(11)) == 0
+    assert suspects.record_success(HARMLESS[0], at(10))
+    assert suspects.check(HARMLESS[0], at(11)) is SendDecision.FREE
+    suspects.record_end(HARMLESS[0], life(9), at(9))
+    assert suspects.count_strikes(HARMLESS[0], at(11)) == 0
 
 
 def test_an_answer_elsewhere_clears_a_request_once_its_marks_are_told() -> None:
     """A single mark is told to few; who answers meanwhile knows nothing of it."""
     teller = suspects_with({HARMLESS[0]: [1, 12]})
     other = CrashSuspects()
-    other.note_success(HARMLESS[0], at(10))
-    news = teller.tell(HARMLESS[0], at(13))
-    assert other.take(news, HOST, at(13))
-    assert other.count_marks(HARMLESS[0], at(13)) == 1
-    assert other.concerns_all(HARMLESS[0], at(13))
-    teller.take(other.tell(HARMLESS[0], at(13)), HOST, at(13))
-    assert teller.count_marks(HARMLESS[0], at(13)) == 1
+    other.record_success(HARMLESS[0], at(10))
+    news = teller.make_report(HARMLESS[0], at(13))
+    assert other.apply_report(news, HOST, at(13))
+    assert other.count_strikes(HARMLESS[0], at(13)) == 1
+    assert other.must_inform_all(HARMLESS[0], at(13))
+    teller.apply_report(other.make_report(HARMLESS[0], at(13)), HOST, at(13))
+    assert teller.count_strikes(HARMLESS[0], at(13)) == 1
 
 
 def test_a_request_with_marks_runs_once_at_a_time() -> None:
     suspects = suspects_with({CRASHING: [1]})
     suspects.begin(CRASHING, life(2))
-    assert suspects.judge(CRASHING, at(3)) is Verdict.WAIT
+    assert suspects.check(CRASHING, at(3)) is SendDecision.WAIT
     suspects.finish(CRASHING, life(2))
-    assert suspects.judge(CRASHING, at(3)) is Verdict.FREE
+    assert suspects.check(CRASHING, at(3)) is SendDecision.FREE
 
 
 def test_a_request_with_two_marks_runs_at_one_gateway_at_a_time() -> None:
     first, second = (suspects_with({CRASHING: [1, 2]}) for _ in range(2))
     first.begin(CRASHING, life(3))
-    second.take(first.tell(CRASHING, at(3)), HOST, at(3))
-    assert second.judge(CRASHING, at(3)) is Verdict.WAIT
-    assert second.avoided(HARMLESS[0], at(3)) == {life(3)}
+    second.apply_report(first.make_report(CRASHING, at(3)), HOST, at(3))
+    assert second.check(CRASHING, at(3)) is SendDecision.WAIT
+    assert second.engines_to_avoid(HARMLESS[0], at(3)) == {life(3)}
     first.finish(CRASHING, life(3))
-    second.take(first.tell(CRASHING, at(4)), HOST, at(4))
-    assert second.judge(CRASHING, at(4)) is Verdict.FREE
+    second.apply_report(first.make_report(CRASHING, at(4)), HOST, at(4))
+    assert second.check(CRASHING, at(4)) is SendDecision.FREE
 
 
 def test_a_blocked_request_is_tried_again_after_a_while() -> None:
     suspects = suspects_with({CRASHING: [1, 2, 3]})
-    assert suspects.blocked_for(CRASHING, at(3)) == MARK_SECONDS - 2
-    later = at(MARK_SECONDS + 1.5)
-    assert suspects.judge(CRASHING, later) is Verdict.FREE
-    suspects.note_end(CRASHING, life(4), later)
-    assert suspects.judge(CRASHING, later) is Verdict.BLOCKED
+    assert suspects.blocked_seconds(CRASHING, at(3)) == STRIKE_SECONDS - 2
+    later = at(STRIKE_SECONDS + 1.5)
+    assert suspects.check(CRASHING, later) is SendDecision.FREE
+    suspects.record_end(CRASHING, life(4), later)
+    assert suspects.check(CRASHING, later) is SendDecision.BLOCKED
 
 
 def test_bodies_that_are_made_up_take_no_more_than_bounded_memory() -> None:
     suspects = suspects_with({CRASHING: [1, 2, 3]})
-    for number in range(3 * MOST_SUSPECTS):
+    for number in range(3 * MAX_SUSPECTS):
         made_up = RequestSignature(b"made up %d" % number)
-        suspects.note_end(made_up, life(5), at(5 + number / 1000))
-    assert len(suspects.suspects) == MOST_SUSPECTS
-    assert suspects.judge(CRASHING, at(9)) is Verdict.BLOCKED
+        suspects.record_end(made_up, life(5), at(5 + number / 1000))
+    assert len(suspects.suspects) == MAX_SUSPECTS
+    assert suspects.check(CRASHING, at(9)) is SendDecision.BLOCKED
 
 
 def test_a_life_whose_start_is_not_told_counts_once() -> None:
     suspects = suspects_with({CRASHING: [1, 2]})
-    suspects.note_end(CRASHING, EngineLife(TargetId("i-1"), None), at(2))
-    assert suspects.count_marks(CRASHING, at(3)) == 2
+    suspects.record_end(CRASHING, EngineIncarnation(TargetId("i-1"), None), at(2))
+    assert suspects.count_strikes(CRASHING, at(3)) == 2
 
 
 def test_the_signature_tells_requests_apart_by_all_that_engines_see_of_them() -> None:
--- a/tests/platform/test_crashing_requests.py
+++ b/tests/platform/test_crashing_requests.py
@@ -16,13 +16,13 @@
 from msgspec.json import decode
 from test_domain_reads import GATEWAYS, DomainSite
 
-from ridgecourse_standins.platform.crashing import CRASH_BODY, CrashingEngines
+from ridgecourse_standins.platform.crashing_engines import CRASH_BODY, CrashingEngines
 from ridgecourse_standins.platform.engine import (
     EngineStandIn,
     ReceivedRequest,
     send_events,
+    send_response,
     send_stream_head,
-    send_whole,
 )
 
 STREAM = ("Model: m0", "Token-Usage: 100,50")
@@ -40,7 +40,7 @@
 
 def work(request: ReceivedRequest) -> None:
     sleep(WORK_SECONDS)
-    send_whole(request)
+    send_response(request)
 
 
 class Callers:
@@ -101,10 +101,10 @@
 
 def late_sends(engines: CrashingEngines) -> int:
     """Return the sends that ended engines after all gateways had to know."""
-    if len(engines.ends) <= ENDS_ALLOWED:
+    if len(engines.crash_times) <= ENDS_ALLOWED:
         return 0
-    limit = engines.ends[ENDS_ALLOWED - 1] + CONTACT_SECONDS
-    return sum(end > limit for end in engines.ends)
+    limit = engines.crash_times[ENDS_ALLOWED - 1] + CONTACT_SECONDS
+    return sum(end > limit for end in engines.crash_times)
 
 
 @pytest.fixture
@@ -140,7 +140,7 @@
 
     def end_some(turn: int) -> int:
         if turn < 4:
-            engines.end(next(iter(engines.living)))
+            engines.end(next(iter(engines.running)))
         return 200
 
     run_beside(harmless, Callers(end_some, 1.0))
@@ -202,7 +202,7 @@
     finally:
         engines.close()
     assert late_sends(engines) <= LATE_SENDS_ALLOWED
-    assert len(engines.ends) <= ENDS_ALLOWED + 2
+    assert len(engines.crash_times) <= ENDS_ALLOWED + 2
     assert harmless.served >= LEAST_SERVED
 
 
@@ -214,14 +214,14 @@
         domain.start()
         for host in hosts:
             domain.wait_until(lambda host=host: domain.ask_at(host, CRASH_BODY) == 503)
-        ends = len(engines.ends)
+        ends = len(engines.crash_times)
         for host in hosts[1:4]:
             domain.processes[host].kill()
             domain.processes[host].start()
         for host in hosts[1:4]:
             domain.wait_until(lambda host=host: domain.is_ready(host))
             assert domain.ask_at(host, CRASH_BODY) == 503
-        assert len(engines.ends) == ends
+        assert len(engines.crash_times) == ends
     finally:
         engines.close()
 
@@ -233,7 +233,7 @@
     front.start()
     front.wait_until(lambda: front.ask(PATH, CRASH_BODY)[0] == 503)
     ends = len(engines.ends)
-    assert front.store.wait_appended(1)
+    assert front.store.wait_for_appends(1)
     front.gateway.kill()
     front.gateway.start()
     front.wait_until(lambda: front.ready() == 200)
@@ -261,7 +261,7 @@
             front.ask("/stream/x", CRASH_BODY, method="POST", extra=STREAM)
             for _ in range(5)
         ]
-        assert len(engines.ends) == ENDS_ALLOWED
+        assert len(engines.crash_times) == ENDS_ALLOWED
     finally:
         engines.close()
     # The first caller had events of two engines; the second came to the third.
--- a/tests/platform/test_datagrams.py
+++ b/tests/platform/test_datagrams.py
@@ -20,7 +20,7 @@
 SENT = 240
 TURNS_PER_SECOND = 80
 """Of the event loop, with some to spare over the 50 that gathering makes."""
-STATUS = EngineStatus(WeightsVersion(1), False, 2, 3, 100, 1000, unread=0.25)
+STATUS = EngineStatus(WeightsVersion(1), False, 2, 3, 100, 1000, prefill_backlog=0.25)
 
 
 @pytest.fixture
--- a/tests/platform/test_domain_reads.py
+++ b/tests/platform/test_domain_reads.py
@@ -33,7 +33,7 @@
 from msgspec.json import decode, encode
 
 from ridgecourse.platform.names import DECISIONS_TOPIC
-from ridgecourse_standins.managed import Managed
+from ridgecourse_standins.managed_process import ManagedProcess
 from ridgecourse_standins.platform.weights import StagingEngine
 from ridgecourse_standins.ports import LAST_PORT, free_address, free_port
 
@@ -87,7 +87,9 @@
         }
         self.processes[GATEWAYS[0]] = self.gateway
 
-    def make_process(self, directory: Path, host: str, more: dict[str, Any]) -> Managed:
+    def make_process(
+        self, directory: Path, host: str, more: dict[str, Any]
+    ) -> ManagedProcess:
         ports = self.settings["internal_port_range"]
         settings = make_settings(
             self.store.address,
@@ -99,7 +101,7 @@
         is_loader = host in self.engines_by_host
         program = "loader_main" if is_loader else "gateway_main"
         command = ["-m", f"ridgecourse.platform.{program}", str(path)]
-        return Managed(host, command, directory)
+        return ManagedProcess(host, command, directory)
 
     def rewrite(self, host: str, **more: Any) -> None:
         """Change a process's settings."""
@@ -123,7 +125,7 @@
         """Return the hosts that the store told a configuration."""
         return {
             host
-            for host, records in list(self.store.told.items())
+            for host, records in list(self.store.delivered.items())
             for topic, key, value in list(records)
             if topic == DECISIONS_TOPIC and decode(value).get("version") == version
         }
@@ -193,14 +195,14 @@
     version = domain.settle() + 1
     reader = domain.told(version - 1).pop()
     others = set(GATEWAYS) - {reader}
-    domain.processes[reader].freeze()
+    domain.processes[reader].pause()
     begun = monotonic()
     domain.store.put_config(make_config(version))
     domain.wait_folded(version, others)
     assert monotonic() - begun < CONFIG_SECONDS
     # One of them reads for the others now.
     domain.settle(version + 1, others)
-    domain.processes[reader].wake()
+    domain.processes[reader].resume()
     domain.wait_folded(version, {reader})
 
 
@@ -221,10 +223,10 @@
     newcomer = domain.processes[GATEWAYS[1]]
     newcomer.kill()
     domain.rewrite(GATEWAYS[1], seed_nodes=[f"{GATEWAYS[0]}:1"])
-    asked = len(domain.store.newest_asked)
+    asked = len(domain.store.newest_reads)
     newcomer.start()
     newcomer.wait_event("config-folded", after=1)
-    hosts = domain.store.newest_asked[asked:]
+    hosts = domain.store.newest_reads[asked:]
     assert (GATEWAYS[1], DECISIONS_TOPIC) not in hosts
 
 
@@ -244,13 +246,13 @@
 def test_who_is_behind_reads_what_holds_and_not_what_held(front) -> None:
     front.add_engine("app")
     front.start()
-    front.gateway.freeze()
+    front.gateway.pause()
     routes = [make_route(f"/idle-{n}/", "safe", "app") for n in range(200)]
     for version in range(2, VERSIONS):
         config = make_config(version)
         config["routes"].extend(routes)
         front.store.put_config(config)
-    front.gateway.wake()
+    front.gateway.resume()
     front.gateway.wait_event("config-folded", version=str(VERSIONS - 1))
     told = sum(len(value) for _, _, value in front.store.told["127.0.0.1"])
     assert told < 5 * len(encode(config))
--- a/tests/platform/test_domain_source.py
+++ b/tests/platform/test_domain_source.py
@@ -8,12 +8,12 @@
 
 from ridgecourse.cluster import tree_reader
 from ridgecourse.cluster.domain_source import DomainSource
-from ridgecourse.cluster.share import STALE_SECONDS, SharedRecords
+from ridgecourse.cluster.record_server import STALE_SECONDS, RecordsResponse
 from ridgecourse.cluster.tree_reader import (
-    ANSWER_SECONDS,
-    LATE_SECONDS,
-    SILENT_SECONDS,
-    WAIT_SECONDS,
+    ANSWER_TIMEOUT_SECONDS,
+    LONG_POLL_SECONDS,
+    STALE_AVOID_SECONDS,
+    UNRESPONSIVE_AVOID_SECONDS,
     Neighbours,
 )
 from ridgecourse.core.hubs import Peer
@@ -25,7 +25,7 @@
     Seconds,
     TargetName,
 )
-from ridgecourse.core.outage_tries import LARGE_BYTES
+from ridgecourse.core.outage_retries import LARGE_BYTES
 from ridgecourse.net.events import EventStream
 from ridgecourse.net.record_source import (
     RecordBatch,
@@ -74,7 +74,7 @@
         self.lost: set[str] = set()
         self.asked: list[str] = []
         self.ages: dict[str, float | None] = {"first": 0.0, "second": 0.0}
-        monkeypatch.setattr(tree_reader, "ask_records", self.answer)
+        monkeypatch.setattr(tree_reader, "fetch_records", self.answer)
         monkeypatch.setattr(tree_reader, "boottime", lambda: self.now)
         events = EventStream(ProcessName("p"), Incarnation("i"), DomainName("a"))
         self.source = DomainSource(
@@ -95,15 +95,17 @@
     def choose_parent(self, avoided: Collection[TargetName]) -> Peer | None:
         return next((p for p in (FIRST, SECOND) if p.name not in avoided), None)
 
-    def answer(self, http, address: str, *_: object) -> SharedRecords:
+    def answer(self, http, address: str, *_: object) -> RecordsResponse:
         name = address.partition(":")[0]
         self.asked.append(name)
         age = self.ages[name]
         if age is None:
-            self.now += WAIT_SECONDS * (len(self.asked) == 1) + ANSWER_SECONDS
+            self.now += (
+                LONG_POLL_SECONDS * (len(self.asked) == 1) + ANSWER_TIMEOUT_SECONDS
+            )
             raise SourceUnavailable(name)
         lost = name in self.lost
-        return SharedRecords([], Offset(1), age, receiving=self.receiving, lost=lost)
+        return RecordsResponse([], Offset(1), age, receiving=self.receiving, lost=lost)
 
     def read(self, after: float = 0.0) -> list[str]:
         """Read once; return who was asked."""
@@ -127,7 +129,7 @@
 def test_a_silent_parent_is_left_alone_for_long(domain: Domain) -> None:
     domain.ages["first"] = None
     assert domain.read() == ["first", "second"]
-    assert domain.read(SILENT_SECONDS - 0.1) == ["second"]
+    assert domain.read(UNRESPONSIVE_AVOID_SECONDS - 0.1) == ["second"]
     domain.ages["first"] = 0.0
     assert domain.read(0.2) == ["first"]
 
@@ -141,7 +143,7 @@
     domain.ages = {"first": None, "second": STALE_SECONDS + 0.1}
     assert domain.read() == ["first", "second", STORE]
     domain.ages["second"] = 0.0
-    assert domain.read(LATE_SECONDS) == ["second"]
+    assert domain.read(STALE_AVOID_SECONDS) == ["second"]
 
 
 def test_targets_are_read_from_a_parent_too(domain: Domain) -> None:
@@ -212,7 +214,7 @@
     domain.lost = {"first", "second"}
     assert domain.read() == ["first", "second", STORE]
     domain.receiving = True
-    assert domain.read(LATE_SECONDS) == ["first", "second"]
+    assert domain.read(STALE_AVOID_SECONDS) == ["first", "second"]
 
 
 def test_what_holds_is_read_after_an_outage_in_a_series_of_changes(
@@ -220,15 +222,15 @@
 ) -> None:
     """The first of several changes crossed the link only to be replaced."""
     domain.ages = {"first": None, "second": None}
-    tries = domain.source.readers[Topic.DECISIONS].tries
-    tries.note_answer(Seconds(monotonic()), [LARGE_BYTES])
-    tries.note_failure(1, Seconds(monotonic()))
+    tries = domain.source.readers[Topic.DECISIONS].outage_retries
+    tries.record_answer(Seconds(monotonic()), [LARGE_BYTES])
+    tries.record_failure(1, Seconds(monotonic()))
     newest = RecordBatch([], Offset(7), Seconds(monotonic()))
     monkeypatch.setattr(domain.source.store, "newest", lambda topic: newest)
     batch = domain.source.read(Topic.DECISIONS, Offset(4), 0.0)
-    assert (batch.end, batch.passed_from) == (7, 4)
+    assert (batch.end, batch.skipped_from) == (7, 4)
     batch = domain.source.read(Topic.DECISIONS, Offset(7), 0.0)
-    assert batch.passed_from is None
+    assert batch.skipped_from is None
 
 
 def test_the_list_is_not_taken_from_a_parent_that_cannot_read_the_store(
--- a/tests/platform/test_early_staging.py
+++ b/tests/platform/test_early_staging.py
@@ -32,7 +32,7 @@
 
 def hold_back(site: LoaderSite) -> None:
     """Have the origin send a few more chunks only."""
-    site.origin.hold_after = site.origin.sent + DRAWN
+    site.origin.send_limit = site.origin.sent + DRAWN
 
 
 def test_a_loader_that_is_killed_finds_what_it_drew(loader_site) -> None:
--- a/tests/platform/test_engine_limits.py
+++ b/tests/platform/test_engine_limits.py
@@ -16,8 +16,8 @@
 from msgspec import convert
 from test_crashing_requests import Callers, CrashDomain
 
-from ridgecourse.core.engine_life import EngineLife
-from ridgecourse.core.engine_limits import REMEMBERED_SECONDS, EngineLimits
+from ridgecourse.core.engine_incarnation import EngineIncarnation
+from ridgecourse.core.engine_rate_limits import LIMIT_VALID_SECONDS, EngineRateLimits
 from ridgecourse.core.hubs import Peer
 from ridgecourse.core.ids import (
     DomainName,
@@ -30,7 +30,7 @@
 from ridgecourse_standins.platform.engine import (
     EngineStandIn,
     ReceivedRequest,
-    send_whole,
+    send_response,
 )
 
 PATH = "/safe/x"
@@ -65,7 +65,7 @@
         self.arrived.set()
         sleep(WORK_SECONDS)
         extra = (f"Server-Limit: {self.limit}",) if self.limit else ()
-        send_whole(request, extra=extra)
+        send_response(request, extra=extra)
 
     def worst_window(self) -> int:
         """Return the most arrivals within a window, once the limit was known."""
@@ -82,7 +82,7 @@
 
 def work(request: ReceivedRequest) -> None:
     sleep(WORK_SECONDS)
-    send_whole(request)
+    send_response(request)
 
 
 def add_limited(site: GatewaySite, limit: str = str(LIMIT)) -> LimitedEngine:
@@ -166,7 +166,7 @@
 # The shares, without input or output.
 
 RATES = st.one_of(st.just(0.0), st.floats(0.05, 60.0))
-LIFE = EngineLife(TargetId("i-1"), EngineStart(1))
+LIFE = EngineIncarnation(TargetId("i-1"), EngineStart(1))
 DOMAIN = DomainName("a")
 STEP_SECONDS = 0.05
 
@@ -180,19 +180,21 @@
     ]
 
 
-def make_limits(me: Peer) -> EngineLimits:
+def make_limits(me: Peer) -> EngineRateLimits:
     site = make_site(convert(make_settings("127.0.0.1:1"), SiteFields))
-    return EngineLimits(site, me)
+    return EngineRateLimits(site, me)
 
 
-def send_all(limits: list[EngineLimits], peers: list[Peer], end: float) -> list[float]:
+def send_all(
+    limits: list[EngineRateLimits], peers: list[Peer], end: float
+) -> list[float]:
     """Return when gateways send that all have requests all the time."""
     sent = []
     for step in range(int(end / STEP_SECONDS)):
         now = Seconds(step * STEP_SECONDS)
         for each in limits:
             if each.wait(LIFE, DOMAIN, peers, now) == 0.0:
-                each.take(LIFE, now)
+                each.record_send(LIFE, now)
                 sent.append(now)
     return sent
 
@@ -211,11 +213,11 @@
     peers = make_peers(count)
     limits = [make_limits(peer) for peer in peers]
     for each in limits:
-        each.hear(LIFE, rate, Seconds(0.0))
-    sent = send_all(limits, peers, 2 * REMEMBERED_SECONDS)
+        each.record_limit(LIFE, rate, Seconds(0.0))
+    sent = send_all(limits, peers, 2 * LIMIT_VALID_SECONDS)
     assert most_in_window(sent) <= 1.5 * rate * WINDOW_SECONDS + 5
-    assert min(sent) < REMEMBERED_SECONDS
-    assert max(sent) > REMEMBERED_SECONDS
+    assert min(sent) < LIMIT_VALID_SECONDS
+    assert max(sent) > LIMIT_VALID_SECONDS
 
 
 @given(st.integers(1, 98))
@@ -230,17 +232,17 @@
 
 def test_newer_news_of_a_limit_replaces_older_only() -> None:
     limits = make_limits(make_peers(1)[0])
-    assert limits.hear(LIFE, 2.0, Seconds(10.0))
-    assert not limits.hear(LIFE, None, Seconds(9.0))
-    assert limits.limited(LIFE)
-    assert limits.hear(LIFE, None, Seconds(11.0))
+    assert limits.record_limit(LIFE, 2.0, Seconds(10.0))
+    assert not limits.record_limit(LIFE, None, Seconds(9.0))
+    assert limits.is_limited(LIFE)
+    assert limits.record_limit(LIFE, None, Seconds(11.0))
     assert limits.wait(LIFE, DOMAIN, [], Seconds(11.0)) == 0.0
 
 
 def test_a_new_life_of_an_engine_begins_without_a_limit() -> None:
     limits = make_limits(make_peers(1)[0])
-    limits.hear(LIFE, 0.0, Seconds(10.0))
-    later = EngineLife(LIFE.target, EngineStart(2))
-    assert not limits.limited(later)
-    assert not limits.hear(LIFE, 1.0, Seconds(11.0))
-    assert not limits.limited(later)
+    limits.record_limit(LIFE, 0.0, Seconds(10.0))
+    later = EngineIncarnation(LIFE.target, EngineStart(2))
+    assert not limits.is_limited(later)
+    assert not limits.record_limit(LIFE, 1.0, Seconds(11.0))
+    assert not limits.is_limited(later)
--- a/tests/platform/test_engine_lives.py
+++ b/tests/platform/test_engine_lives.py
@@ -16,15 +16,15 @@
 from ridgecourse_standins.platform.engine import (
     EngineStandIn,
     ReceivedRequest,
-    event,
+    format_event,
     refuse,
-    reset,
+    reset_connection,
     send_chunk,
     send_events,
+    send_response,
     send_stream_head,
-    send_whole,
 )
-from ridgecourse_standins.platform.loader import IDLE, LoaderStandIn
+from ridgecourse_standins.platform.loader import IDLE_STATUS, LoaderStandIn
 
 BORN = 1_790_000_000_000
 ENGINE_HOST = "127.0.0.5"
@@ -33,7 +33,7 @@
 
 def answering(text: str):  # type: ignore[no-untyped-def]
     def behave(request: ReceivedRequest) -> None:
-        send_whole(request, text.encode())
+        send_response(request, text.encode())
 
     return behave
 
@@ -41,7 +41,7 @@
 def answering_as(target: str, text: str):  # type: ignore[no-untyped-def]
     def behave(request: ReceivedRequest) -> None:
         if request.header("Expected-Instance") == target:
-            send_whole(request, text.encode())
+            send_response(request, text.encode())
         else:
             refuse(request, "421 Misdirected Request")
 
@@ -67,7 +67,7 @@
     service: str = "app",
 ) -> EngineStandIn:
     """List the life that follows another one of the engine ``i-0``."""
-    engine = before.restart(moved)
+    engine = before.next_incarnation(moved)
     engine.behaviour = answering(text)
     engine.start()
     site.engines.append(engine)
@@ -78,9 +78,9 @@
 def weights_told(site: GatewaySite) -> list[str]:
     """Return version and whether it is busy of each change of an engine's weights."""
     return [
-        f"{event['version']} {str(event['detail']['busy']).lower()}"
-        for event in site.gateway.events()
-        if event["kind"] == "target-weights"
+        f"{format_event['version']} {str(format_event['detail']['busy']).lower()}"
+        for format_event in site.gateway.events()
+        if format_event["kind"] == "target-weights"
     ]
 
 
@@ -98,14 +98,14 @@
     seen = len(first.requests)
     connection = front.open()
     front.send(connection, ONCE)
-    first.wait_for(seen + 1)
+    first.wait_for_requests(seen + 1)
     first.kill()
     second = add_next_life(front, first, "second")
     answer = connection.makefile("rb").readline()
     # It may have run in the earlier life: neither an answer nor a refusal.
     assert answer.split()[1] == b"502"
     wait_answer(front, b"second")
-    assert not [r for r in second.requests if "/once/" in r.line]
+    assert not [r for r in second.requests if "/once/" in r.request_line]
 
 
 def test_a_frozen_earlier_life_that_wakes_does_not_replace_the_new_one(
@@ -114,10 +114,10 @@
     first = add_life(front, "first", BORN)
     front.start()
     wait_answer(front, b"first")
-    first.freeze()
+    first.pause()
     add_next_life(front, first, "second", moved=True)
     wait_answer(front, b"second")
-    first.wake()
+    first.resume()
     # Its heartbeat is the newest record of the identity; the next entry shows that
     # it was read.
     front.list_engine(first, "app", "i-0")
@@ -135,11 +135,11 @@
     first = add_life(front, "first", BORN)
     front.start()
     wait_answer(front, b"first")
-    first.behaviour = reset
+    first.behaviour = reset_connection
     for _ in range(4):
         front.ask(ONCE)
     first.kill()
-    taker = first.restart()
+    taker = first.next_incarnation()
     taker.behaviour = answering_as("i-7", "taker")
     taker.start()
     front.engines.append(taker)
@@ -163,7 +163,7 @@
         send_stream_head(request)
         send_events(request, 1, 2)
         broken.wait(20.0)
-        reset(request)
+        reset_connection(request)
 
     def go_on(request: ReceivedRequest) -> None:
         send_stream_head(request)
@@ -175,13 +175,13 @@
     front.gateway.wait_event("target-listed", target="i-0")
     connection = front.open()
     front.send(connection, "/stream/a", deadline_ms=8000)
-    first.wait_for(1)
+    first.wait_for_requests(1)
     second = add_next_life(front, first, "second", moved=True, service="llm")
     second.behaviour = go_on
     front.gateway.wait_event("target-listed", after=1, target="i-0")
     broken.set()
     _, _, body, whole = receive_answer(connection)
-    assert (body, whole) == (b"".join(event(n) for n in range(1, 5)), True)
+    assert (body, whole) == (b"".join(format_event(n) for n in range(1, 5)), True)
     assert second.requests[0].header("Last-Event-Id") == "2"
 
 
@@ -192,9 +192,9 @@
     loader = LoaderStandIn(ENGINE_HOST, front.settings["internal_port_range"][0])
 
     def tell(started: int, **more: Any) -> None:
-        status = structs.replace(IDLE, started=EngineStart(started), **more)
+        status = structs.replace(IDLE_STATUS, started=EngineStart(started), **more)
         loader.status = status
-        front.wait_until(lambda: loader.told is status)
+        front.wait_until(lambda: loader.last_reported is status)
 
     front.add_engine("llm", host=ENGINE_HOST)
     loader.start()
--- a/tests/platform/test_first_chunks.py
+++ b/tests/platform/test_first_chunks.py
@@ -20,7 +20,7 @@
 
 import eventlet
 
-from ridgecourse.core.fetches import Member, PlanPolicy
+from ridgecourse.core.fetch_types import Member, PlanPolicy
 from ridgecourse.core.hubs import Peer
 from ridgecourse.core.ids import (
     ChunkDigest,
@@ -35,8 +35,8 @@
 from ridgecourse.exchange.server import PACE_BURST_SECONDS, PIECE_BYTES, RATE_HEADER
 from ridgecourse.exchange.store import ChunkStore
 from ridgecourse.exchange.transfer import Transfer
-from ridgecourse.loader.loader import FETCHES
-from ridgecourse.net.figures import Figures
+from ridgecourse.loader.loader import MAX_CONCURRENT_FETCHES
+from ridgecourse.net.figures import ProcessMetrics
 from ridgecourse.net.throttle import AdaptiveRate, Throttle
 
 DOMAIN = DomainName("a")
@@ -81,7 +81,7 @@
 
     def _carry(self, pieces: list[int], arrive: Callable[[float], None]) -> None:
         for size in pieces:
-            self.pacer.take(size)
+            self.pacer.acquire(size)
             now = monotonic()
             self.free_at = max(self.free_at, now) + size / self.rate
             self.queued = max(self.queued, self.free_at - now)
@@ -93,13 +93,13 @@
 
     def _follow(self, neighbour: TargetName) -> None:
         digests = [place.digest for place in self.holding.places]
-        self.planner.peer_holds(neighbour, digests, Seconds(monotonic()))
+        self.planner.record_peer_chunks(neighbour, digests, Seconds(monotonic()))
         self.progress.notify()
 
 
 def make_context(link: NarrowLink) -> ExchangeContext:
     events = Mock()
-    events.figures = Figures()
+    events.figures = ProcessMetrics()
     return ExchangeContext(
         Member(TargetName("10.0.0.1"), DOMAIN),
         events,
@@ -107,7 +107,7 @@
         Mock(send=link.send),
         ChunkStore(CHUNKS * CHUNK_BYTES),
         LinkPolicy(),
-        PlanPolicy(fetches=FETCHES),
+        PlanPolicy(fetches=MAX_CONCURRENT_FETCHES),
         rate=AdaptiveRate(WIDE),
         digest=lambda data: ChunkDigest(data.rstrip().decode()),
     )
@@ -119,7 +119,9 @@
     entry = FileEntry("weights", CHUNKS * CHUNK_BYTES, digests)
     holding = Holding(RootDigest("root"), Manifest(CHUNK_BYTES, (entry,)), b"")
     hubs = {HUB.name: HUB}
-    transfer = LoneTransfer(make_context(link), Mock(drawn=0), holding, hubs, 1, hubs)
+    transfer = LoneTransfer(
+        make_context(link), Mock(received_bytes=0), holding, hubs, 1, hubs
+    )
     begun = monotonic()
     with eventlet.Timeout(20):
         assert transfer.run()
--- a/tests/platform/test_foreign_answers.py
+++ b/tests/platform/test_foreign_answers.py
@@ -109,7 +109,7 @@
     store = PlatformStore("store:1", Answers(*pages))  # type: ignore[arg-type]
     batch = store.newest(Topic.TARGETS)
     reader.end = batch.end
-    reader.view.take_targets(batch, True)
+    reader.view.apply_targets(batch, True)
     return reader
 
 
@@ -164,5 +164,5 @@
     reader.list(("i-1", ENTRY), ("i-2", ENTRY))
     item = change(make_item("i-2", b"", 5), value="!!!")
     store = PlatformStore("store:1", Answers(make_page([item])))  # type: ignore[arg-type]
-    reader.view.take_targets(store.newest(Topic.TARGETS), False)
+    reader.view.apply_targets(store.newest(Topic.TARGETS), False)
     assert reader.serving() == {"i-1"}
--- a/tests/platform/test_foreign_decisions.py
+++ b/tests/platform/test_foreign_decisions.py
@@ -21,7 +21,7 @@
 from msgspec.json import encode
 
 from ridgecourse.core.ids import ModelName
-from ridgecourse.gateway.messages import CallerRequest
+from ridgecourse.gateway.messages import ClientRequest
 from ridgecourse.gateway.terms import find_terms
 from ridgecourse.net.record_source import Topic
 from ridgecourse.platform.names import CONFIG_KEY, DECISIONS_TOPIC
@@ -65,7 +65,7 @@
     assert config is not None
     for routes in config.routes.values():
         for route in routes:
-            call = Mock(spec=CallerRequest, host=route.host, path=route.prefix, key=KEY)
+            call = Mock(spec=ClientRequest, host=route.host, path=route.prefix, key=KEY)
             find_terms(call, config, Random(1))
     for service in config.services.values():
         if service.engine is not None:
@@ -155,7 +155,7 @@
     (line,) = reader.events.bad()
     assert line["key"] == CONFIG_KEY
     # Who starts reads the bad one; what holds is kept for it elsewhere.
-    (kept,) = reader.keeper.keep.call_args.args
+    (kept,) = reader.keeper.pin.call_args.args
     assert kept.value == encode(make_config(1))
     reader.decide(CONFIG_KEY, make_config(2))
     assert reader.view.config.version == 2
@@ -228,7 +228,7 @@
     front.add_engine("app")
     front.start()
     front.store.put(DECISIONS_TOPIC, CONFIG_KEY, Raw(b"\xff\xfe"))
-    front.store.wait_appended(1)
+    front.store.wait_for_appends(1)
     front.gateway.kill()
     front.gateway.start()
     front.wait_until(lambda: front.ready() == 200)
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -80,7 +80,7 @@
     """At once, also while removals after an outage are not believed yet."""
     reader = Reader()
     reader.list(("i-1", ENTRY), ("i-2", ENTRY))
-    reader.view.targets.outage_ended(Seconds(1e12))
+    reader.view.targets.record_outage_end(Seconds(1e12))
     reader.list(("i-2", bad))
     assert reader.serving() == {"i-1"}
     reader.list(("i-2", ENTRY))
@@ -119,7 +119,7 @@
     reader = Reader()
     reader.list(("i-1", ENTRY), ("i-1", ENTRY))
     late = KeyedRecord("i-1", b"junk", Offset(0))
-    reader.view.take_targets(RecordBatch([late], Offset(1), Seconds(0.0)), False)
+    reader.view.apply_targets(RecordBatch([late], Offset(1), Seconds(0.0)), False)
     assert reader.serving() == {"i-1"}
 
 
@@ -127,7 +127,7 @@
     reader = Reader()
     reader.list(("i-1", ENTRY), ("i-1", {}))
     late = KeyedRecord("i-1", encode(ENTRY), Offset(0))
-    reader.view.take_targets(RecordBatch([late], Offset(1), Seconds(0.0)), False)
+    reader.view.apply_targets(RecordBatch([late], Offset(1), Seconds(0.0)), False)
     assert reader.serving() == set()
 
 
@@ -137,8 +137,8 @@
     for each in (reader, other):
         each.list(("i-1", ENTRY))
     reader.read_raw(Topic.TARGETS, [raw_record(b"i-1", b"\xff\xfe")])
-    shared = reader.view.share.topics[Topic.TARGETS].since(Offset(0))
-    other.view.take_targets(
+    shared = reader.view.record_server.topics[Topic.TARGETS].records_since(Offset(0))
+    other.view.apply_targets(
         RecordBatch(shared.records, shared.end, Seconds(0.0)), False
     )
     assert other.serving() == set()
@@ -167,7 +167,7 @@
     for number in range(50):
         reader.list(("i-1", {"number": number}))
     assert len(reader.events.bad()) == 1
-    assert reader.events.figures.counters["records_rejected_targets"] == 50
+    assert reader.events.metrics.counters["records_rejected_targets"] == 50
 
 
 def test_neither_log_nor_memory_grows_with_bad_entries() -> None:
@@ -176,11 +176,11 @@
     for start in range(0, 20_000, 1000):
         reader.list(*((f"x-{start + n}", {"a": "b" * 500}) for n in range(1000)))
     assert len(reader.events.bad()) <= LINES_ALLOWED
-    assert reader.events.figures.counters["records_rejected_targets"] == 20_000
+    assert reader.events.metrics.counters["records_rejected_targets"] == 20_000
     assert reader.serving() == {"i-good"}
-    topic = reader.view.share.topics[Topic.TARGETS]
+    topic = reader.view.record_server.topics[Topic.TARGETS]
     assert len(topic.records) <= 1001
-    assert len(reader.view.targets.heard) <= 1001
+    assert len(reader.view.targets.histories) <= 1001
     assert sum(len(record.value) for record in topic.records.values()) < 1000
 
 
@@ -190,7 +190,7 @@
     reader.read(Topic.TARGETS, (b"i-1", b""))
     for start in range(0, 3000, 1000):
         reader.list(*((f"x-{start + number}", {}) for number in range(1000)))
-    shared = reader.view.share.topics[Topic.TARGETS].since(Offset(0))
+    shared = reader.view.record_server.topics[Topic.TARGETS].records_since(Offset(0))
     assert "i-1" in {record.key for record in shared.records}
 
 
--- a/tests/platform/test_gateway_lists.py
+++ b/tests/platform/test_gateway_lists.py
@@ -9,7 +9,7 @@
 
 from ridgecourse.core.hubs import Peer
 from ridgecourse.core.ids import DomainName, ProcessName, TargetName
-from ridgecourse.loader.gateways import KnownGateways
+from ridgecourse.loader.known_gateways import KnownGateways
 from ridgecourse.loader.status import StatusFeed
 from ridgecourse.net.websocket import ChannelClosed
 from ridgecourse.wire.codec import encode_message
@@ -62,7 +62,7 @@
 
     def tell(self, channel: Channel, watch: Watch) -> None:
         try:
-            self.feed.tell(channel, watch)
+            self.feed.serve_watcher(channel, watch)
         except ChannelClosed:
             return
 
--- a/tests/platform/test_herding.py
+++ b/tests/platform/test_herding.py
@@ -11,8 +11,8 @@
 import pytest
 
 import bench.placement
-from bench.engine_passes import PassEngine
 from bench.placement import MODEL, Gateway, Simulation, credit
+from bench.simulated_engine import SimulatedEngine
 from ridgecourse.core import placement
 from ridgecourse.core.engine_load import EngineLoad
 
@@ -24,20 +24,20 @@
 
 def share_in_time(seed: int, patience_spread: float = 0.0) -> float:
     """Play the load in virtual time; return the share of answers in time."""
-    engines = [PassEngine(MODEL) for _ in range(ENGINES)]
+    engines = [SimulatedEngine(MODEL) for _ in range(ENGINES)]
     gateways = [
         Gateway(number % 3, [EngineLoad() for _ in engines])
         for number in range(GATEWAYS)
     ]
     played = Simulation("spare", engines, gateways, Random(seed))
-    played.patience_spread = patience_spread
+    played.timeout_spread = patience_spread
     played.run(SECONDS, RATE)
-    counted = [r for r in played.done if r.arrived > WARM_SECONDS]
+    counted = [r for r in played.requests if r.arrived_at > WARM_SECONDS]
     return sum(credit(request) == 1.0 for request in counted) / len(counted)
 
 
 def test_requests_spread_where_all_see_the_same(monkeypatch) -> None:
-    monkeypatch.setattr(bench.placement, "LOOK_SECONDS", LOOK_SECONDS)
+    monkeypatch.setattr(bench.placement, "POLL_SECONDS", LOOK_SECONDS)
     spread = [share_in_time(seed) for seed in SEEDS]
     monkeypatch.setattr(placement, "JITTER_SECONDS", 0.0)
     herded = [share_in_time(seed) for seed in SEEDS]
--- a/tests/platform/test_hubs.py
+++ b/tests/platform/test_hubs.py
@@ -19,7 +19,7 @@
 from test_weights import HUBS, make_gateways, make_planner
 
 from ridgecourse.cluster.view import ClusterView
-from ridgecourse.core.fetches import Member, PlanPolicy
+from ridgecourse.core.fetch_types import Member, PlanPolicy
 from ridgecourse.core.hubs import Peer, choose_hubs, plan_hubs
 from ridgecourse.core.ids import (
     ChunkDigest,
@@ -36,7 +36,7 @@
 from ridgecourse.net.http_client import HttpClient
 from ridgecourse.net.process import new_incarnation
 from ridgecourse.platform.settings import SiteFields, make_site
-from ridgecourse_standins.managed import Managed
+from ridgecourse_standins.managed_process import ManagedProcess
 from ridgecourse_standins.platform.weights import HttpStandIn
 from ridgecourse_standins.ports import free_address
 
@@ -53,17 +53,17 @@
         plan = plan_hubs(KEY, gateways, me)
         assert plan.hubs == hubs
         assert me.name not in plan.sources(me)
-        assert all(peer.domain == me.domain for peer in plan.near)
+        assert all(peer.domain == me.domain for peer in plan.local_gateways)
         if me not in hubs:
             hub = next(hub for hub in hubs if hub.domain == me.domain)
-            assert plan.near[0] == hub
+            assert plan.local_gateways[0] == hub
 
 
 @given(st.integers(2, 12))
 def test_the_next_in_line_is_the_hub_once_the_first_has_gone(count: int) -> None:
     gateways = make_gateways(count, 1)
     (hub,) = choose_hubs(KEY, gateways)
-    successor = plan_hubs(KEY, gateways, hub).near[0]
+    successor = plan_hubs(KEY, gateways, hub).local_gateways[0]
     left = [gateway for gateway in gateways if gateway != hub]
     assert list(choose_hubs(KEY, left)) == [successor]
 
@@ -79,7 +79,7 @@
     hubs = [hub for hub in HUBS if hub.domain != "a"]
     planner = make_planner(Member(TargetName("loader"), DomainName("a")), hubs)
     assert set(planner.neighbours()) == {hub.target for hub in hubs}
-    planner.peer_holds(TargetName("hub-b"), DIGESTS[:5], Seconds(0.1))
+    planner.record_peer_chunks(TargetName("hub-b"), DIGESTS[:5], Seconds(0.1))
     fetches = list(planner.plan(Seconds(0.2)))
     assert {fetch.source for fetch in fetches} == {TargetName("hub-b")}
 
@@ -114,15 +114,15 @@
     events = EventStream(site.process, new_incarnation(), site.domain)
     view = ClusterView(Mock(), Mock(), Mock(), events, 8.0)
     view.config = Mock(origin=Mock(address="127.0.0.1:1", domain="a", bytes_per_s=0.0))
-    origin = MeddlingOrigin(lambda: hub.learn("loader", [peer]))
+    origin = MeddlingOrigin(lambda: hub.record_gateways("loader", [peer]))
     hub = Hub(site, view, events, origin, HttpClient())
-    hub.want((ModelName(MODEL), WeightsVersion(2)))
+    hub.request_version((ModelName(MODEL), WeightsVersion(2)))
     try:
         with eventlet.Timeout(10):
             while not newcomer.calls:
                 eventlet.sleep(0.01)
     finally:
-        for thread in hub.working.values():
+        for thread in hub.fetching.values():
             thread.kill()
         newcomer.close()
     assert newcomer.calls[0] == ("GET", f"/versions/{MODEL}/2")
@@ -134,35 +134,35 @@
     events = EventStream(site.process, new_incarnation(), site.domain)
     view = ClusterView(Mock(), Mock(), Mock(), events, 8.0)
     hub = Hub(site, view, events, Mock(), HttpClient())
-    hub.learn("loader", [hub.place, *gateways])
+    hub.record_gateways("loader", [hub.local, *gateways])
     return hub
 
 
 def end_work(hub: Hub) -> None:
-    for thread in list(hub.working.values()):
+    for thread in list(hub.fetching.values()):
         thread.kill()
 
 
 def test_a_named_version_is_drawn_before_any_loader_asks() -> None:
     hub = make_hub()
     model, now = ModelName(MODEL), Seconds(monotonic())
-    hub.view.history(model).name(WeightsVersion(2), now, now)
-    hub.bring_named()
-    assert list(hub.working) == [(model, 2)]
-    hub.view.history(model).name(WeightsVersion(3), now, now)
-    hub.bring_named()
-    assert list(hub.working) == [(model, 2), (model, 3)]
+    hub.view.history(model).record_version(WeightsVersion(2), now, now)
+    hub.fetch_announced()
+    assert list(hub.fetching) == [(model, 2)]
+    hub.view.history(model).record_version(WeightsVersion(3), now, now)
+    hub.fetch_announced()
+    assert list(hub.fetching) == [(model, 2), (model, 3)]
     end_work(hub)
 
 
 def test_a_gateway_that_knows_no_other_yet_waits_until_it_is_asked() -> None:
     hub = make_hub()
-    hub.forget("loader")
-    hub.learn("a loader elsewhere", [])
+    hub.forget_loader("loader")
+    hub.record_gateways("a loader elsewhere", [])
     model, now = ModelName(MODEL), Seconds(monotonic())
-    hub.view.history(model).name(WeightsVersion(2), now, now)
-    hub.bring_named()
-    assert not hub.working
+    hub.view.history(model).record_version(WeightsVersion(2), now, now)
+    hub.fetch_announced()
+    assert not hub.fetching
 
 
 def test_a_named_version_is_left_to_the_widest_gateways() -> None:
@@ -172,18 +172,18 @@
     ]
     hub = make_hub(*wide)
     model, now = ModelName(MODEL), Seconds(monotonic())
-    hub.view.history(model).name(WeightsVersion(2), now, now)
-    hub.bring_named()
-    assert not hub.working
+    hub.view.history(model).record_version(WeightsVersion(2), now, now)
+    hub.fetch_announced()
+    assert not hub.fetching
 
 
 def test_a_version_named_long_ago_waits_until_it_is_asked_for() -> None:
     hub = make_hub()
     model, now = ModelName(MODEL), Seconds(monotonic())
-    hub.view.history(model).name(WeightsVersion(2), now, Seconds(now - 9.0))
-    hub.view.history(ModelName("other")).name(WeightsVersion(2), now, None)
-    hub.bring_named()
-    assert not hub.working
+    hub.view.history(model).record_version(WeightsVersion(2), now, Seconds(now - 9.0))
+    hub.view.history(ModelName("other")).record_version(WeightsVersion(2), now, None)
+    hub.fetch_announced()
+    assert not hub.fetching
 
 
 class HubSite(LoaderSite):
@@ -194,7 +194,7 @@
     def __init__(self, directory: Path, **more: bool) -> None:
         super().__init__(directory, **more)
         self.directory = directory
-        self.places: dict[str, Managed] = {}
+        self.places: dict[str, ManagedProcess] = {}
         for number in (2, 3):
             host = f"127.0.0.{number}"
             settings = make_settings(
@@ -208,7 +208,7 @@
             path = directory / f"{host}.json"
             path.write_bytes(encode(settings))
             command = ["-m", "ridgecourse.platform.gateway_main", str(path)]
-            self.places[host] = Managed(f"gateway-{number}", command, directory)
+            self.places[host] = ManagedProcess(f"gateway-{number}", command, directory)
 
     def start(self) -> None:
         self.list_engine()
--- a/tests/platform/test_kept_transfers.py
+++ b/tests/platform/test_kept_transfers.py
@@ -22,11 +22,11 @@
 
 from ridgecourse.core.ids import Seconds
 from ridgecourse.core.supersession import (
-    LATE_START_SECONDS,
+    LAST_SWITCH_LEAD_SECONDS,
     TransferPlan,
-    comes_first,
-    counts_as_here,
-    start_wait,
+    counts_as_available,
+    switch_wait,
+    takes_precedence,
 )
 
 NOW = Seconds(100.0)
@@ -81,30 +81,30 @@
     """Versions required 2 s apart: to change takes as long as the first may serve."""
     bound, newer = Seconds(103.0), Seconds(105.0)
     for place in (0.0, 0.5, 1.0):
-        assert start_wait(bound, newer, NOW, NOW, place) == 3.0
-        assert start_wait(bound, newer, Seconds(103.5), NOW, place) == 0.0
+        assert switch_wait(bound, newer, NOW, NOW, place) == 3.0
+        assert switch_wait(bound, newer, Seconds(103.5), NOW, place) == 0.0
 
 
 def test_the_first_engine_changes_at_once_and_the_last_by_the_bound() -> None:
     bound = Seconds(103.0)
     for newer in (None, Seconds(108.0)):
-        assert start_wait(bound, newer, NOW, NOW, place=0.0) == 0.0
-        wait = start_wait(bound, newer, NOW, NOW, place=1.0)
-        assert wait == pytest.approx(3.0 - LATE_START_SECONDS)
+        assert switch_wait(bound, newer, NOW, NOW, place=0.0) == 0.0
+        wait = switch_wait(bound, newer, NOW, NOW, place=1.0)
+        assert wait == pytest.approx(3.0 - LAST_SWITCH_LEAD_SECONDS)
 
 
 def test_a_turn_stays_where_it_is_while_time_passes() -> None:
     bound, later = Seconds(110.0), Seconds(NOW + 2.0)
-    wait = start_wait(bound, None, NOW, NOW, place=0.5)
-    assert start_wait(bound, None, later, NOW, place=0.5) == pytest.approx(wait - 2.0)
+    wait = switch_wait(bound, None, NOW, NOW, place=0.5)
+    assert switch_wait(bound, None, later, NOW, place=0.5) == pytest.approx(wait - 2.0)
 
 
 def test_a_version_that_comes_after_the_bound_is_taken_at_once() -> None:
-    assert start_wait(Seconds(99.0), None, NOW, NOW, place=1.0) == 0.0
+    assert switch_wait(Seconds(99.0), None, NOW, NOW, place=1.0) == 0.0
 
 
 def test_an_engine_without_weights_takes_what_there_is() -> None:
-    assert start_wait(None, Seconds(101.0), NOW, NOW, place=1.0) == 0.0
+    assert switch_wait(None, Seconds(101.0), NOW, NOW, place=1.0) == 0.0
 
 
 def test_half_of_the_engines_go_for_the_second_of_two_versions_far_apart() -> None:
@@ -117,10 +117,10 @@
         TransferPlan(3.0, Seconds(106.0)),
         TransferPlan(5.7, Seconds(110.0)),
     )
-    here = counts_as_here(current, newer, 0.1)
+    here = counts_as_available(current, newer, 0.1)
     assert here
-    assert comes_first(current, newer, NOW, early=True, newer_here=here)
-    assert not comes_first(current, newer, NOW, early=False, newer_here=here)
+    assert takes_precedence(current, newer, NOW, early=True, newer_available=here)
+    assert not takes_precedence(current, newer, NOW, early=False, newer_available=here)
 
 
 def test_a_version_close_behind_counts_as_here_once_it_is_whole() -> None:
@@ -128,6 +128,6 @@
         TransferPlan(2.5, Seconds(106.0)),
         TransferPlan(4.9, Seconds(108.0)),
     )
-    assert not counts_as_here(current, newer, 0.9)
-    assert counts_as_here(current, newer, 1.0)
-    assert not counts_as_here(current, newer, None)
+    assert not counts_as_available(current, newer, 0.9)
+    assert counts_as_available(current, newer, 1.0)
+    assert not counts_as_available(current, newer, None)
--- a/tests/platform/test_known_lives.py
+++ b/tests/platform/test_known_lives.py
@@ -21,8 +21,8 @@
 from msgspec.json import encode
 
 from ridgecourse.cluster.view import ClusterView
-from ridgecourse.core.engine_life import EngineLife
-from ridgecourse.core.engine_load import EngineStatus, Pending
+from ridgecourse.core.engine_incarnation import EngineIncarnation
+from ridgecourse.core.engine_load import EngineStatus, PendingRequest
 from ridgecourse.core.ids import (
     DomainName,
     EngineStart,
@@ -35,16 +35,16 @@
 )
 from ridgecourse.core.known_loads import KnownLoads
 from ridgecourse.core.recent_peak import RecentPeak
-from ridgecourse.core.target_states import FAILURES_IN_A_ROW, TargetStates
-from ridgecourse.core.targets import (
+from ridgecourse.core.target_list import (
     HeldLayers,
     ListedTarget,
     TargetList,
     TargetRecord,
 )
+from ridgecourse.core.target_states import FAILURES_IN_A_ROW, TargetHealthTable
 from ridgecourse.gateway.selection import TargetSelector
 from ridgecourse.net.record_source import KeyedRecord, RecordBatch, Topic
-from ridgecourse.platform.records import PlatformRecords
+from ridgecourse.platform.records import PlatformRecordDecoder
 
 ENGINE = TargetId("i-0")
 MODEL = ModelName("m0")
@@ -53,8 +53,8 @@
 STARTS = st.sampled_from([EngineStart(5), EngineStart(7), EngineStart(9)])
 
 
-def life(started: int | None) -> EngineLife:
-    return EngineLife(ENGINE, None if started is None else EngineStart(started))
+def life(started: int | None) -> EngineIncarnation:
+    return EngineIncarnation(ENGINE, None if started is None else EngineStart(started))
 
 
 def make_status(
@@ -86,16 +86,16 @@
 
 
 def test_a_life_without_a_start_is_neither_before_nor_after_another() -> None:
-    assert life(5).is_before(life(7))
-    assert not life(7).is_before(life(5))
-    assert not life(None).is_before(life(5))
-    assert not life(5).is_before(life(None))
-    assert life(5).join(life(None)) == life(None).join(life(5)) == life(5)
+    assert life(5).precedes(life(7))
+    assert not life(7).precedes(life(5))
+    assert not life(None).precedes(life(5))
+    assert not life(5).precedes(life(None))
+    assert life(5).latest(life(None)) == life(None).latest(life(5)) == life(5)
 
 
 def test_lives_of_different_engines_are_not_compared() -> None:
-    other = EngineLife(TargetId("i-1"), EngineStart(9))
-    assert not life(5).is_before(other)
+    other = EngineIncarnation(TargetId("i-1"), EngineStart(9))
+    assert not life(5).precedes(other)
 
 
 # Loads and reports.
@@ -103,84 +103,84 @@
 
 def test_a_report_of_an_earlier_life_does_not_replace_one_of_the_new() -> None:
     loads = KnownLoads()
-    assert loads.report(life(7), make_status(7, active=2), NOW, 1)
+    assert loads.record_report(life(7), make_status(7, active=2), NOW, 1)
     # Its number is higher, for the loader counts on over the engine's lives.
-    assert not loads.report(life(5), make_status(5, active=9), NOW, 2)
-    assert loads.of(life(5)).status == make_status(7, active=2)
+    assert not loads.record_report(life(5), make_status(5, active=9), NOW, 2)
+    assert loads.value_of(life(5)).status == make_status(7, active=2)
 
 
 def test_a_new_life_has_nothing_of_the_earlier_ones_load() -> None:
     loads = KnownLoads()
-    loads.report(life(5), make_status(5, active=9), NOW, 40)
-    before = loads.of(life(5))
+    loads.record_report(life(5), make_status(5, active=9), NOW, 40)
+    before = loads.value_of(life(5))
     before.outstanding = 3
-    before.waiting["a"] = Pending(NOW, 0.1)
+    before.pending["a"] = PendingRequest(NOW, 0.1)
     # A number that is lower than the last one is no reason to leave it out.
-    assert loads.report(life(7), make_status(7, version=0), NOW, 1)
-    load = loads.of(life(7))
-    assert (load.outstanding, load.waiting, load.number) == (0, {}, 1)
+    assert loads.record_report(life(7), make_status(7, version=0), NOW, 1)
+    load = loads.value_of(life(7))
+    assert (load.outstanding, load.pending, load.sequence_number) == (0, {}, 1)
     # What the earlier life still had ends there.
     before.outstanding -= 3
-    assert loads.of(life(5)) is load
+    assert loads.value_of(life(5)) is load
     assert load.outstanding == 0
 
 
 def test_a_new_life_in_the_list_ends_the_reports_of_the_earlier_one() -> None:
     loads = KnownLoads()
-    loads.report(life(5), make_status(5, active=9), NOW, 1)
-    assert loads.of(life(7)).status is None
-    assert not loads.report(life(5), make_status(5, active=9), NOW, 2)
-    assert loads.of(life(7)).status is None
+    loads.record_report(life(5), make_status(5, active=9), NOW, 1)
+    assert loads.value_of(life(7)).status is None
+    assert not loads.record_report(life(5), make_status(5, active=9), NOW, 2)
+    assert loads.value_of(life(7)).status is None
 
 
 def test_reports_without_a_start_go_on_as_before() -> None:
     loads = KnownLoads()
-    assert loads.report(life(None), make_status(), NOW, 1)
-    assert not loads.report(life(None), make_status(active=9), NOW, 1)
-    assert loads.report(life(None), make_status(active=9), NOW, 2)
+    assert loads.record_report(life(None), make_status(), NOW, 1)
+    assert not loads.record_report(life(None), make_status(active=9), NOW, 1)
+    assert loads.record_report(life(None), make_status(active=9), NOW, 2)
     # Also beside a list that tells the start.
-    assert loads.of(life(7)).status == make_status(active=9)
-    assert loads.report(life(None), make_status(active=4), NOW, 3)
-    assert loads.of(life(7)).status == make_status(active=4)
+    assert loads.value_of(life(7)).status == make_status(active=9)
+    assert loads.record_report(life(None), make_status(active=4), NOW, 3)
+    assert loads.value_of(life(7)).status == make_status(active=4)
 
 
 def test_unlisted_engines_are_dropped() -> None:
     loads = KnownLoads()
-    loads.report(life(5), make_status(5), NOW, 1)
+    loads.record_report(life(5), make_status(5), NOW, 1)
     loads.forget_unlisted({TargetId("i-1")})
-    assert (loads.values, loads.lives) == ({}, {})
+    assert (loads.values, loads.incarnations) == ({}, {})
 
 
 # Ejection.
 
 
 def test_a_new_life_of_an_ejected_target_is_not_ejected() -> None:
-    states = TargetStates()
-    state = states.of(life(5))
-    state.ways.observe(0.4, NOW)
-    assert any(state.failed(NOW) for _ in range(FAILURES_IN_A_ROW))
-    fresh = states.of(life(7))
+    states = TargetHealthTable()
+    state = states.value_of(life(5))
+    state.network_delays.observe(0.4, NOW)
+    assert any(state.record_failure(NOW) for _ in range(FAILURES_IN_A_ROW))
+    fresh = states.value_of(life(7))
     assert (fresh.not_before, fresh.failures, fresh.ejections) == (0.0, 0, 0)
     # The way there is as long as it was.
-    assert fresh.ways.expect(NOW) == 0.4
+    assert fresh.network_delays.decayed_peak(NOW) == 0.4
 
 
 def test_what_becomes_of_sends_to_an_earlier_life_does_not_eject_the_new_one() -> None:
-    states = TargetStates()
-    at_send = states.of(life(5))
-    fresh = states.of(life(7))
+    states = TargetHealthTable()
+    at_send = states.value_of(life(5))
+    fresh = states.value_of(life(7))
     for _ in range(FAILURES_IN_A_ROW):
-        at_send.failed(NOW)
-    assert states.of(life(5)) is fresh
+        at_send.record_failure(NOW)
+    assert states.value_of(life(5)) is fresh
     assert fresh.not_before == 0.0
 
 
 def test_a_target_that_tells_no_start_stays_ejected() -> None:
-    states = TargetStates()
-    state = states.of(life(None))
-    assert any(state.failed(NOW) for _ in range(FAILURES_IN_A_ROW))
-    assert states.of(life(None)) is state
-    assert states.of(life(5)) is state
+    states = TargetHealthTable()
+    state = states.value_of(life(None))
+    assert any(state.record_failure(NOW) for _ in range(FAILURES_IN_A_ROW))
+    assert states.value_of(life(None)) is state
+    assert states.value_of(life(5)) is state
 
 
 # Weights, as the selector believes them.
@@ -193,12 +193,12 @@
         self.hold = hold
         self.loads = KnownLoads()
         watcher: Any = SimpleNamespace(
-            load=lambda target: self.loads.of(target.life),
-            life=lambda target: self.loads.latest(target.life),
+            load=lambda target: self.loads.value_of(target.incarnation),
+            incarnation=lambda target: self.loads.latest(target.incarnation),
         )
-        history = SimpleNamespace(begin_by=lambda version: None)
+        history = SimpleNamespace(start_deadline=lambda version: None)
         view: Any = SimpleNamespace(
-            serving=lambda service: [target],
+            serving_targets=lambda service: [target],
             history=lambda model: history,
             targets=SimpleNamespace(targets={target.target: target}),
         )
@@ -207,11 +207,11 @@
         limits: Any = SimpleNamespace()
         self.selector = TargetSelector(site, view, watcher, lag, Random(1), limits)
 
-    def choose(self, tried: set[EngineLife]) -> Any:
+    def choose(self, tried: set[EngineIncarnation]) -> Any:
         service: Any = SimpleNamespace(
             name=ServiceName("llm"), engine=SimpleNamespace(layers=LAYERS)
         )
-        self.selector._weigh = lambda service, call, target, now: SimpleNamespace(  # type: ignore[method-assign, assignment]
+        self.selector._estimate = lambda service, call, target, now: SimpleNamespace(  # type: ignore[method-assign, assignment]
             target=target, terms=SimpleNamespace(version=None), hold=self.hold
         )
         self.selector._cost = lambda choice: 0.0  # type: ignore[method-assign]
@@ -226,7 +226,7 @@
     assert around.choose(set()) is not None
     # Told long ago by the monotonic clock, so that only the list speaks.
     long_ago = Seconds(-1000.0)
-    around.loads.report(life(7), make_status(7, version=0), long_ago, 1)
+    around.loads.record_report(life(7), make_status(7, version=0), long_ago, 1)
     assert around.choose(set()) is None
     assert around.selector._held_version(MODEL, listed, NOW) is None
 
@@ -267,14 +267,14 @@
 
 def test_what_another_process_tells_of_an_earlier_life_is_left_out() -> None:
     """It read the store's list while that had the earlier life's heartbeat last."""
-    view = ClusterView(Mock(), Mock(), PlatformRecords(), Mock(), 8.0)
+    view = ClusterView(Mock(), Mock(), PlatformRecordDecoder(), Mock(), 8.0)
 
     def take(offset: int, born: int, address: str) -> str:
         entry = {**ENTRY, "address": address, "born": born}
         record = KeyedRecord(ENGINE, encode(entry), Offset(offset))
         heard_at = Seconds(monotonic())
         batch = RecordBatch([record], Offset(offset + 1), heard_at)
-        view.take(Topic.TARGETS, batch, whole=True)
+        view.apply(Topic.TARGETS, batch, whole=True)
         return view.targets.targets[ENGINE].address
 
     assert take(1, 7, "127.0.0.1:7") == "127.0.0.1:7"
@@ -315,9 +315,9 @@
         self.now = 100.0
         self.stream: list[TargetRecord] = []
         self.seen: list[TargetRecord] = []
-        self.reports: list[tuple[EngineLife, EngineStatus, int]] = []
-        self.heard: dict[TargetId, EngineLife] = {}
-        self.told: dict[TargetId, tuple[EngineLife, EngineStatus, int]] = {}
+        self.reports: list[tuple[EngineIncarnation, EngineStatus, int]] = []
+        self.heard: dict[TargetId, EngineIncarnation] = {}
+        self.told: dict[TargetId, tuple[EngineIncarnation, EngineStatus, int]] = {}
 
     @rule(name=st.sampled_from(names), started=STARTS, leaving=st.booleans())
     def write(self, name: TargetId, started: EngineStart, leaving: bool) -> None:
@@ -343,7 +343,7 @@
     def tell(self, name: TargetId, started: EngineStart, active: int) -> None:
         """A loader numbers its reports over all lives of its engine."""
         status = make_status(started, active=active)
-        told = EngineLife(name, started), status, len(self.reports) + 1
+        told = EngineIncarnation(name, started), status, len(self.reports) + 1
         self.reports.append(told)
 
     @precondition(lambda self: self.stream)
@@ -353,23 +353,23 @@
         self.list.apply([record], Seconds(self.now))
         self.seen.append(record)
         if record.entry is not None:
-            self.loads.latest(record.entry.life)
-            self.hear(record.entry.life)
+            self.loads.latest(record.entry.incarnation)
+            self.hear(record.entry.incarnation)
 
     @precondition(lambda self: self.reports)
     @rule(data=st.data())
     def deliver_report(self, data: st.DataObject) -> None:
         told = data.draw(st.sampled_from(self.reports))
-        self.loads.report(told[0], told[1], Seconds(self.now), told[2])
+        self.loads.record_report(told[0], told[1], Seconds(self.now), told[2])
         self.hear(told[0])
         known = self.told.get(told[0].target)
         latest = self.heard[told[0].target] == told[0]
         if latest and (known is None or told[2] > known[2]):
             self.told[told[0].target] = told
 
-    def hear(self, life: EngineLife) -> None:
+    def hear(self, life: EngineIncarnation) -> None:
         before = self.heard.get(life.target)
-        if before is None or before.is_before(life):
+        if before is None or before.precedes(life):
             self.heard[life.target] = life
             self.told.pop(life.target, None)
 
@@ -395,7 +395,7 @@
         for name, heard in self.heard.items():
             told = self.told.get(name)
             assert self.loads.latest(heard) == heard
-            assert self.loads.of(heard).status == (told[1] if told else None)
+            assert self.loads.value_of(heard).status == (told[1] if told else None)
 
 
 TestLives = LivesMachine.TestCase
--- a/tests/platform/test_late_callers.py
+++ b/tests/platform/test_late_callers.py
@@ -10,8 +10,8 @@
 from msgspec import structs
 from test_requests import stream
 
-from ridgecourse.core.patience import FEWEST
-from ridgecourse_standins.platform.loader import IDLE, LoaderStandIn
+from ridgecourse.core.client_timeout import MIN_SAMPLE_SIZE
+from ridgecourse_standins.platform.loader import IDLE_STATUS, LoaderStandIn
 
 ENGINE = "127.0.0.5"
 STREAM = ("Model: m0", "Token-Usage: 100,50")
@@ -31,9 +31,9 @@
         self.add_engine("llm", stream(1, 2), host=ENGINE)
         self.loader.start()
         super().start(config)
-        self.wait_until(lambda: self.loader.watchers > 0)
+        self.wait_until(lambda: self.loader.connection_count > 0)
         # So many say how long callers usually have.
-        for _ in range(FEWEST):
+        for _ in range(MIN_SAMPLE_SIZE):
             assert self.call(6000)[0] == 200
 
     def call(self, deadline_ms: int, *more: str) -> Answer:
@@ -46,8 +46,8 @@
 
     def set_load(self, **more: int) -> None:
         """Let the engine be so full, once the gateway has been told."""
-        self.loader.status = structs.replace(IDLE, **more)
-        self.wait_until(lambda: self.loader.told is self.loader.status)
+        self.loader.status = structs.replace(IDLE_STATUS, **more)
+        self.wait_until(lambda: self.loader.last_reported is self.loader.status)
         # What was told is on its way for some milliseconds.
         sleep(0.1)
 
@@ -74,7 +74,7 @@
     assert float(headers["retry-after"]) > 0
     refused = loaded.gateway.wait_event("request-refused")
     assert refused["detail"]["reason"] == "overloaded"
-    assert len(loaded.engines[0].requests) == FEWEST + 1
+    assert len(loaded.engines[0].requests) == MIN_SAMPLE_SIZE + 1
 
 
 def test_who_is_late_in_any_case_is_served_where_there_is_room(loaded) -> None:
--- a/tests/platform/test_left_draws.py
+++ b/tests/platform/test_left_draws.py
@@ -61,7 +61,7 @@
 
 def hold_second_version(site: SlowOriginSite) -> None:
     """Have the origin send a third of the second version, and then nothing."""
-    limit = site.origin.hold_after = site.origin.sent + DRAWN
+    limit = site.origin.send_limit = site.origin.sent + DRAWN
     site.store.put_version(MODEL, 2)
     site.origin.wait_until(lambda: site.origin.sent == limit)
 
--- a/tests/platform/test_left_versions.py
+++ b/tests/platform/test_left_versions.py
@@ -26,7 +26,12 @@
 from ridgecourse.core.ids import (
     Seconds,
 )
-from ridgecourse.core.supersession import TransferPlan, comes_first, goes_on, is_of_use
+from ridgecourse.core.supersession import (
+    TransferPlan,
+    is_usable,
+    should_continue,
+    takes_precedence,
+)
 
 APART_SECONDS = 1.5
 """Between the names of two versions. The first may be served for as long after the one
@@ -60,29 +65,31 @@
 
 def test_a_version_that_comes_after_its_successor_is_required_is_of_no_use() -> None:
     now = Seconds(100.0)
-    assert is_of_use(2.0, Seconds(103.5), now)
-    assert not is_of_use(4.0, Seconds(103.5), now)
-    assert is_of_use(4.0, None, now)
+    assert is_usable(2.0, Seconds(103.5), now)
+    assert not is_usable(4.0, Seconds(103.5), now)
+    assert is_usable(4.0, None, now)
 
 
 def test_not_even_the_early_half_finishes_what_is_of_no_use() -> None:
     now = Seconds(100.0)
     newer = TransferPlan(5.5, Seconds(103.5))
-    assert goes_on(TransferPlan(3.0, Seconds(100.0)), newer, now, early=True)
-    assert not goes_on(TransferPlan(4.0, Seconds(100.0)), newer, now, early=True)
+    assert should_continue(TransferPlan(3.0, Seconds(100.0)), newer, now, early=True)
+    assert not should_continue(
+        TransferPlan(4.0, Seconds(100.0)), newer, now, early=True
+    )
     late = TransferPlan(5.5, Seconds(100.8))
-    assert not goes_on(TransferPlan(1.0, Seconds(97.0)), late, now, early=True)
+    assert not should_continue(TransferPlan(1.0, Seconds(97.0)), late, now, early=True)
 
 
 def test_what_was_left_off_comes_first_while_the_newer_version_is_not_there() -> None:
     now = Seconds(100.0)
     current = TransferPlan(3.0, Seconds(104.0))
     newer = TransferPlan(5.5, Seconds(107.0))
-    assert comes_first(current, newer, now, early=False, newer_here=False)
-    assert not comes_first(current, newer, now, early=False, newer_here=True)
-    assert comes_first(current, newer, now, early=True, newer_here=True)
+    assert takes_precedence(current, newer, now, early=False, newer_available=False)
+    assert not takes_precedence(current, newer, now, early=False, newer_available=True)
+    assert takes_precedence(current, newer, now, early=True, newer_available=True)
     useless = TransferPlan(7.5, Seconds(104.0))
-    assert not comes_first(useless, newer, now, early=True, newer_here=False)
+    assert not takes_precedence(useless, newer, now, early=True, newer_available=False)
 
 
 def test_an_engine_that_crashes_starts_again_while_the_newer_version_is_not_there(
--- a/tests/platform/test_loader.py
+++ b/tests/platform/test_loader.py
@@ -9,7 +9,7 @@
 from gateway_site import LAYERS, MODEL, make_config, make_settings
 from msgspec.json import encode
 
-from ridgecourse_standins.managed import Managed
+from ridgecourse_standins.managed_process import ManagedProcess
 from ridgecourse_standins.platform.store import StoreMode, StoreStandIn
 from ridgecourse_standins.platform.weights import OriginStandIn, StagingEngine
 from ridgecourse_standins.ports import free_port
@@ -57,7 +57,7 @@
         path = directory / "node.json"
         path.write_bytes(encode(settings))
         command = ["-m", "ridgecourse.platform.loader_main", str(path)]
-        self.loader = Managed("loader", command, directory)
+        self.loader = ManagedProcess("loader", command, directory)
 
     def config(self) -> dict[str, Any]:
         config = make_config()
@@ -88,7 +88,7 @@
 
     def wait_serving(self, version: int) -> None:
         self.engine.wait_until(lambda: self.engine.version == version, 30.0)
-        staged = self.engine.started[version]
+        staged = self.engine.staged_at_start[version]
         assert [staged[n] for n in range(CHUNKS)] == self.origin.versions[version]
 
     def close(self) -> None:
@@ -209,6 +209,6 @@
     engine = loader_site.engine
     engine.late = loader_site.origin.versions[2][0]
     loader_site.store.put_version(MODEL, 2)
-    engine.wait_until(lambda: engine.late_until > 0)
+    engine.wait_until(lambda: engine.late_deadline > 0)
     loader_site.store.put_version(MODEL, 3)
     loader_site.wait_serving(3)
--- a/tests/platform/test_loader_lives.py
+++ b/tests/platform/test_loader_lives.py
@@ -11,7 +11,7 @@
 
 from bench.placement import MODEL as ENGINE_MODEL
 from ridgecourse.core.ids import EngineStart
-from ridgecourse.loader.protocol import EngineReport
+from ridgecourse.loader.engine_control import EngineReport
 from ridgecourse.loader.status import StatusFeed
 
 BORN = 1_790_000_000_000
@@ -63,7 +63,7 @@
     loader_site.start()
     loader_site.wait_serving(1)
     engine.restart()
-    engine.looked_at = lose_power
+    engine.on_staging_read = lose_power
     loader_site.wait_serving(1)
     assert len(whole_looks) > 2
 
@@ -101,10 +101,10 @@
     rollout = Mock(transfer=None)
     rollout.find_model.return_value = ENGINE_MODEL, None
     feed = StatusFeed(Mock(), rollout, Mock(), Mock())
-    assert feed.describe(make_report(5, active=0)).unread == 0.0
-    assert feed.describe(make_report(5, active=12)).unread > 0.0
+    assert feed.describe(make_report(5, active=0)).prefill_backlog == 0.0
+    assert feed.describe(make_report(5, active=12)).prefill_backlog > 0.0
     new = feed.describe(make_report(7, active=12))
-    assert (new.unread, new.started) == (0.0, 7)
+    assert (new.prefill_backlog, new.started) == (0.0, 7)
 
 
 __all__ = ["loader_site"]
--- a/tests/platform/test_name_dates.py
+++ b/tests/platform/test_name_dates.py
@@ -29,7 +29,7 @@
 from ridgecourse.core.ids import (
     Offset,
 )
-from ridgecourse.core.old_weights import TAKE_BACK_SECONDS
+from ridgecourse.core.old_weights import WITHDRAWAL_MARGIN_SECONDS
 from ridgecourse.net.http_client import HttpClient
 from ridgecourse.net.record_source import (
     Topic,
@@ -80,9 +80,9 @@
     front.gateway.wait_event("version-named", version="2")
     sleep(max(0.0, named_at + BOUND_SECONDS - ASKED_BEFORE_SECONDS - monotonic()))
     front.send(front.open(), "/stream/x", extra=(f"Model: {MODEL}",))
-    request = engine.wait_for(1)[0]
+    request = engine.wait_for_requests(1)[0]
     assert request.header("Expected-Version") is None
-    assert engine.wait_closed(request, 2 * ASKED_BEFORE_SECONDS)
+    assert engine.wait_until_closed(request, 2 * ASKED_BEFORE_SECONDS)
     assert monotonic() < named_at + BOUND_SECONDS
 
 
@@ -109,9 +109,9 @@
     client = PlatformStore(slow_store.address, HttpClient())
     batch = client.read(Topic.DECISIONS, Offset(0), 0.0)
     assert monotonic() - asked_at > TRANSFER_SECONDS / 2
-    assert asked_at <= batch.heard_at < asked_at + TRANSFER_SECONDS / 2
+    assert asked_at <= batch.confirmed_at < asked_at + TRANSFER_SECONDS / 2
     newest = client.newest(Topic.DECISIONS)
-    assert newest.heard_at < monotonic() - TRANSFER_SECONDS / 2
+    assert newest.confirmed_at < monotonic() - TRANSFER_SECONDS / 2
 
 
 def test_a_wait_that_ended_without_a_record_tells_of_its_end(slow_store) -> None:
@@ -119,7 +119,7 @@
     asked_at = monotonic()
     client = PlatformStore(slow_store.address, HttpClient())
     batch = client.read(Topic.DECISIONS, Offset(0), wait)
-    assert asked_at + wait <= batch.heard_at <= monotonic()
+    assert asked_at + wait <= batch.confirmed_at <= monotonic()
 
 
 def test_a_wait_that_was_cut_short_tells_of_its_beginning(slow_store) -> None:
@@ -127,7 +127,7 @@
     client = PlatformStore(slow_store.address, HttpClient())
     slow_store.closed = True
     batch = client.read(Topic.DECISIONS, Offset(0), 5.0)
-    assert asked_at <= batch.heard_at < asked_at + 0.5
+    assert asked_at <= batch.confirmed_at < asked_at + 0.5
 
 
 def begin_late(request: ReceivedRequest) -> None:
@@ -160,7 +160,7 @@
             sleep(ASK_EACH_SECONDS)
         return len(engine.requests)
 
-    early = ask_until(bound - LATE_SECONDS - TAKE_BACK_SECONDS)
+    early = ask_until(bound - LATE_SECONDS - WITHDRAWAL_MARGIN_SECONDS)
     assert engine.requests[0].header("Expected-Version") is None
     ask_until(bound)
     late = engine.requests[early:]
--- a/tests/platform/test_needless_draws.py
+++ b/tests/platform/test_needless_draws.py
@@ -37,7 +37,7 @@
 from ridgecourse.exchange.holding import Holding
 from ridgecourse.gateway.hub import Hub
 from ridgecourse.gateway.hub_context import ORIGIN_FETCHES
-from ridgecourse.gateway.warm_up import WarmUp
+from ridgecourse.gateway.prefetch import Prefetch
 
 SECOND = (ModelName(MODEL), WeightsVersion(2))
 
@@ -68,19 +68,19 @@
 
 def test_a_gateway_that_stops_leaves_the_work_to_others() -> None:
     hub = make_hub()
-    hub.want(SECOND)
-    assert list(hub.working) == [SECOND]
+    hub.request_version(SECOND)
+    assert list(hub.fetching) == [SECOND]
     hub.withdraw()
-    hub.want(SECOND)
-    assert not hub.working
+    hub.request_version(SECOND)
+    assert not hub.fetching
 
 
-class InterruptedWarmUp(WarmUp):
+class InterruptedWarmUp(Prefetch):
     """A warm-up whose version gets a successor before its loaders send anything."""
 
-    def _take_staged(self, key: VersionKey, service: Service) -> None:
+    def _copy_staged(self, key: VersionKey, service: Service) -> None:
         now = Seconds(monotonic())
-        self.hub.view.history(key[0]).name(SECOND[1], now, now)
+        self.hub.view.history(key[0]).record_version(SECOND[1], now, now)
 
 
 def test_a_warm_up_leaves_a_version_that_is_not_the_newest_any_more() -> None:
@@ -91,12 +91,12 @@
     0.03 s, by a gateway that had waited 2 s for a loader to send it.
     """
     hub = make_hub()
-    hub.bring = Mock()  # type: ignore[method-assign]
+    hub.fetch = Mock()  # type: ignore[method-assign]
     first = (SECOND[0], WeightsVersion(1))
-    hub.working[first] = Mock()
-    InterruptedWarmUp(hub)._bring_staged(first, Mock())
-    hub.bring.assert_not_called()
-    assert first not in hub.working
+    hub.fetching[first] = Mock()
+    InterruptedWarmUp(hub)._fetch_staged(first, Mock())
+    hub.fetch.assert_not_called()
+    assert first not in hub.fetching
 
 
 def make_late_hub(newer_ago: float, held: int) -> Hub:
@@ -113,8 +113,8 @@
     origin.origin = type("Place", (), {"bytes_per_s": 16.0})()
     now = Seconds(monotonic())
     history = hub.view.history(SECOND[0])
-    history.name(SECOND[1], now, Seconds(now - newer_ago - 3.0))
-    history.name(WeightsVersion(3), now, Seconds(now - newer_ago))
+    history.record_version(SECOND[1], now, Seconds(now - newer_ago - 3.0))
+    history.record_version(WeightsVersion(3), now, Seconds(now - newer_ago))
     digests = tuple(ChunkDigest(f"{n:064x}") for n in range(4))
     manifest = Manifest(8, (FileEntry("weights", 32, digests),))
     holding = Holding(RootDigest("root"), manifest, b"")
@@ -137,13 +137,13 @@
 
 def test_a_hub_begins_no_version_whose_successor_is_required() -> None:
     hub = make_late_hub(8.1, 3)
-    hub.want(SECOND)
-    assert not hub.working
+    hub.request_version(SECOND)
+    assert not hub.fetching
     end_work(hub)
 
 
 def test_a_hub_that_cannot_date_the_newer_version_draws_the_older_one() -> None:
     hub = make_hub()
     now = Seconds(monotonic())
-    hub.view.history(SECOND[0]).name(WeightsVersion(3), now, None)
+    hub.view.history(SECOND[0]).record_version(WeightsVersion(3), now, None)
     assert hub.is_needed(SECOND)
--- a/tests/platform/test_old_decisions.py
+++ b/tests/platform/test_old_decisions.py
@@ -42,7 +42,7 @@
     front.gateway.wait_event("config-folded", version="6")
     front.store.put_config(make_config(5))
     front.gateway.wait_event("decision-outdated", version="5")
-    front.store.wait_appended(1)
+    front.store.wait_for_appends(1)
     restart(front)
     assert front.ask("/new/x")[0] == 200
 
@@ -55,18 +55,18 @@
     """
     front.add_engine("app")
     front.start(make_config(5))
-    front.store.hold_writes_back()
+    front.store.delay_writes()
     for version in (6, 5):
         front.store.put_config(make_config(version))
-    assert front.store.wait_held_back()
-    front.store.answer_writes()
+    assert front.store.wait_for_delayed_write()
+    front.store.resume_writes()
     newest = make_config(7)
     newest["routes"].append(make_route("/new/", "safe", "app"))
     for config in (newest, make_config(6)):
         front.store.put_config(config)
     front.gateway.wait_event("decision-outdated", version="6")
     front.gateway.wait_event("decision-kept", offset=3)
-    front.store.do_late_writes()
+    front.store.apply_late_writes()
     restart(front)
     assert front.ask("/new/x")[0] == 200
 
@@ -77,13 +77,13 @@
     newer = make_config(6)
     newer["routes"].append(make_route("/new/", "safe", "app"))
     front.start(newer)
-    front.store.hold_writes_back()
+    front.store.delay_writes()
     front.store.put_config(make_config(5))
-    assert front.store.wait_held_back()
+    assert front.store.wait_for_delayed_write()
     restart(front)
     assert front.ask("/new/x")[0] == 404
-    front.store.answer_writes()
-    front.store.do_late_writes()
+    front.store.resume_writes()
+    front.store.apply_late_writes()
     front.wait_until(lambda: front.ask("/new/x")[0] == 200, 10.0)
 
 
@@ -91,7 +91,7 @@
     """Found by reading: what was passed over may be higher than the newest record."""
     front.add_engine("app")
     front.start()
-    front.gateway.freeze()
+    front.gateway.pause()
     idle = [make_route(f"/idle-{n}/", "safe", "app") for n in range(200)]
     for version in (*range(2, 20), 18):
         config = make_config(version)
@@ -99,7 +99,7 @@
         if version == 19:
             config["routes"].append(make_route("/new/", "safe", "app"))
         front.store.put_config(config)
-    front.gateway.wake()
+    front.gateway.resume()
     front.gateway.wait_event("config-folded", version="18")
     front.wait_until(lambda: front.ask("/new/x")[0] == 200, 10.0)
 
@@ -113,7 +113,7 @@
     for version in (2, 3, 2):
         front.store.put_version(MODEL, version)
     front.gateway.wait_event("decision-outdated", version="2")
-    front.store.wait_appended(1)
+    front.store.wait_for_appends(1)
     restart(front)
     for _ in range(8):
         front.ask("/once-stream/x", extra=(f"Model: {MODEL}",))
@@ -154,7 +154,7 @@
     site.loader.wait_event("rollout-phase", detail=serving)
     site.store.put_version(MODEL, 2)
     site.loader.wait_event("decision-outdated", version="2")
-    site.store.wait_appended(1)
+    site.store.wait_for_appends(1)
     site.loader.kill()
     site.loader.start()
     site.loader.wait_event("rollout-phase", after=1, detail=serving)
--- a/tests/platform/test_outage_tries.py
+++ b/tests/platform/test_outage_tries.py
@@ -6,11 +6,11 @@
 import pytest
 
 from ridgecourse.core.ids import Seconds
-from ridgecourse.core.outage_tries import (
+from ridgecourse.core.outage_retries import (
     LARGE_BYTES,
+    PERSISTENT_READERS,
     SERIES_SECONDS,
-    TRY_OFTEN,
-    OutageTries,
+    OutageRetries,
 )
 
 LOOK_SECONDS = 0.1
@@ -25,16 +25,16 @@
 def count_tries(processes: int, seed: int) -> list[float]:
     """Return when each of the others tried in a cut that nobody gets through."""
     random = Random(seed)
-    tries = [OutageTries(Random(random.random())) for _ in range(processes)]
+    tries = [OutageRetries(Random(random.random())) for _ in range(processes)]
     tried_at = []
     for step in range(int(CUT_SECONDS / LOOK_SECONDS)):
         now = Seconds(step * LOOK_SECONDS)
         for place, own in enumerate(tries):
             if random.random() > LOOK_SECONDS / RETRY_SECONDS:
                 continue
-            if not own.leaves_to_others(min(place, TRY_OFTEN), now):
-                own.note_failure(processes, now)
-                if place >= TRY_OFTEN:
+            if not own.defers_to_others(min(place, PERSISTENT_READERS), now):
+                own.record_failure(processes, now)
+                if place >= PERSISTENT_READERS:
                     tried_at.append(now)
     return tried_at
 
@@ -57,36 +57,36 @@
 
 
 def test_the_first_few_and_who_is_on_its_own_try_at_each_retry() -> None:
-    tries = OutageTries(Random(1))
-    tries.note_failure(60, Seconds(0.0))
-    assert not tries.leaves_to_others(TRY_OFTEN - 1, Seconds(0.1))
-    assert tries.leaves_to_others(TRY_OFTEN, Seconds(0.1))
+    tries = OutageRetries(Random(1))
+    tries.record_failure(60, Seconds(0.0))
+    assert not tries.defers_to_others(PERSISTENT_READERS - 1, Seconds(0.1))
+    assert tries.defers_to_others(PERSISTENT_READERS, Seconds(0.1))
 
 
 def test_who_could_read_the_store_is_not_held_back() -> None:
-    tries = OutageTries(Random(1))
-    assert not tries.leaves_to_others(TRY_OFTEN, Seconds(0.0))
-    tries.note_failure(60, Seconds(0.0))
-    tries.note_success()
-    assert not tries.leaves_to_others(TRY_OFTEN, Seconds(0.1))
+    tries = OutageRetries(Random(1))
+    assert not tries.defers_to_others(PERSISTENT_READERS, Seconds(0.0))
+    tries.record_failure(60, Seconds(0.0))
+    tries.record_success()
+    assert not tries.defers_to_others(PERSISTENT_READERS, Seconds(0.1))
 
 
 def test_an_outage_in_a_series_of_changes_is_known_by_what_came_before_it() -> None:
-    tries = OutageTries(Random(1))
-    tries.note_answer(Seconds(10.0), [100, LARGE_BYTES])
-    tries.note_answer(Seconds(10.0 + SERIES_SECONDS - 0.1), [])
-    assert not tries.in_series
-    tries.note_failure(1, Seconds(30.0))
-    assert tries.in_series
-    tries.note_success()
-    tries.note_answer(Seconds(10.0 + SERIES_SECONDS), [])
-    tries.note_failure(1, Seconds(30.0))
-    assert not tries.in_series
+    tries = OutageRetries(Random(1))
+    tries.record_answer(Seconds(10.0), [100, LARGE_BYTES])
+    tries.record_answer(Seconds(10.0 + SERIES_SECONDS - 0.1), [])
+    assert not tries.is_in_series
+    tries.record_failure(1, Seconds(30.0))
+    assert tries.is_in_series
+    tries.record_success()
+    tries.record_answer(Seconds(10.0 + SERIES_SECONDS), [])
+    tries.record_failure(1, Seconds(30.0))
+    assert not tries.is_in_series
 
 
 def test_small_changes_are_no_series() -> None:
     """The store tells several of them in one answer."""
-    tries = OutageTries(Random(1))
-    tries.note_answer(Seconds(10.0), [100, LARGE_BYTES - 1])
-    tries.note_failure(1, Seconds(11.0))
-    assert not tries.in_series
+    tries = OutageRetries(Random(1))
+    tries.record_answer(Seconds(10.0), [100, LARGE_BYTES - 1])
+    tries.record_failure(1, Seconds(11.0))
+    assert not tries.is_in_series
--- a/tests/platform/test_outdated_transfers.py
+++ b/tests/platform/test_outdated_transfers.py
@@ -52,12 +52,12 @@
     """Have the origin go away when the second version is nearly drawn."""
     origin = site.origin
     origin.versions[4] = make_chunks(4)
-    limit = origin.hold_after = origin.sent + CHUNKS - LEFT_CHUNKS
+    limit = origin.send_limit = origin.sent + CHUNKS - LEFT_CHUNKS
     site.store.put_version(MODEL, 2)
     origin.wait_until(lambda: origin.sent == limit)
-    origin.away = True
+    origin.unreachable = True
     origin.release()
-    origin.wait_until(lambda: origin.turned_away > 2)
+    origin.wait_until(lambda: origin.dropped_connections > 2)
 
 
 def name_for_hubs(site: HubSite, version: int) -> None:
--- a/tests/platform/test_passed_over.py
+++ b/tests/platform/test_passed_over.py
@@ -19,7 +19,7 @@
 from gateway_site import MODEL
 from msgspec.json import encode
 
-from ridgecourse.cluster.share import TOLD_LATE_SECONDS
+from ridgecourse.cluster.record_server import LATE_RECORD_SECONDS
 from ridgecourse.cluster.view import ClusterView
 from ridgecourse.core.ids import (
     DomainName,
@@ -38,7 +38,7 @@
     Topic,
 )
 from ridgecourse.platform.names import VERSION_KEY_PREFIX
-from ridgecourse.platform.records import PlatformRecords
+from ridgecourse.platform.records import PlatformRecordDecoder
 
 
 class BehindSource(RecordSource):
@@ -72,7 +72,7 @@
         lambda batch, whole: taken.append(batch),
         lambda away: None,
         events,
-        misses_none=True,
+        reads_skipped=True,
     )
     follower.start()
     while answers:
@@ -86,20 +86,26 @@
     record = KeyedRecord("k", b"x", Offset(1))
     answers = [
         RecordBatch([], Offset(1), Seconds(10.0)),
-        RecordBatch([record], Offset(2), Seconds(11.0), behind=8),
+        RecordBatch([record], Offset(2), Seconds(11.0), remaining_records=8),
         RecordBatch([record], Offset(10), Seconds(12.0)),
         RecordBatch([], Offset(10), Seconds(13.0)),
         RecordBatch([record], Offset(10), Seconds(13.1)),
     ]
     taken = follow(answers)
-    assert [batch.since for batch in taken] == [None, None, None, None, 10.0]
+    assert [batch.earliest_written_at for batch in taken] == [
+        None,
+        None,
+        None,
+        None,
+        10.0,
+    ]
 
 
 def test_what_was_written_until_the_newest_records_were_read_is_read_as_well() -> None:
     record = KeyedRecord("k", b"x", Offset(1))
     answers = [
         RecordBatch([], Offset(1), Seconds(10.0)),
-        RecordBatch([record], Offset(2), Seconds(11.0), behind=8),
+        RecordBatch([record], Offset(2), Seconds(11.0), remaining_records=8),
         RecordBatch([record], Offset(14), Seconds(12.0)),
         RecordBatch([], Offset(14), Seconds(13.0)),
         RecordBatch([record], Offset(10), Seconds(13.1)),
@@ -107,7 +113,9 @@
         RecordBatch([record], Offset(14), Seconds(14.1)),
     ]
     taken = follow(answers)
-    passed_over = [batch.end for batch in taken if batch.since is not None]
+    passed_over = [
+        batch.end for batch in taken if batch.earliest_written_at is not None
+    ]
     assert passed_over == [10, 14]
 
 
@@ -117,7 +125,7 @@
     empty = RecordBatch([], Offset(10), Seconds(13.0))
     answers = [
         RecordBatch([], Offset(1), Seconds(10.0)),
-        RecordBatch([record], Offset(2), Seconds(11.0), behind=8),
+        RecordBatch([record], Offset(2), Seconds(11.0), remaining_records=8),
         RecordBatch([record], Offset(10), Seconds(12.0)),
         empty,
         SourceUnavailable("too late"),
@@ -125,7 +133,9 @@
         RecordBatch([record], Offset(10), Seconds(13.1)),
     ]
     taken = follow(answers)
-    assert [batch.end for batch in taken if batch.since is not None] == [10]
+    assert [batch.end for batch in taken if batch.earliest_written_at is not None] == [
+        10
+    ]
 
 
 def test_what_was_passed_over_after_an_outage_is_read_later_as_well() -> None:
@@ -133,12 +143,16 @@
     answers = [
         RecordBatch([], Offset(4), Seconds(10.0)),
         SourceUnavailable("cut off"),
-        RecordBatch([record], Offset(9), Seconds(15.0), passed_from=Offset(4)),
+        RecordBatch([record], Offset(9), Seconds(15.0), skipped_from=Offset(4)),
         RecordBatch([], Offset(9), Seconds(16.0)),
         RecordBatch([record], Offset(9), Seconds(16.1)),
     ]
     taken = follow(answers)
-    passed_over = [(b.end, b.since) for b in taken if b.since is not None]
+    passed_over = [
+        (b.end, b.earliest_written_at)
+        for b in taken
+        if b.earliest_written_at is not None
+    ]
     assert passed_over == [(9, 10.0)]
 
 
@@ -151,15 +165,21 @@
     """Found by review: who read from here, and who started, never learned of it."""
     events = EventStream(ProcessName("p"), Incarnation("i"), DomainName("a"))
     keeper = Mock()
-    view = ClusterView(Mock(), keeper, PlatformRecords(), events, 10.0)
+    view = ClusterView(Mock(), keeper, PlatformRecordDecoder(), events, 10.0)
     now = Seconds(monotonic())
-    view.take_decisions(RecordBatch([name_version(2, 1)], Offset(2), now), True)
-    view.take_decisions(RecordBatch([name_version(3, 13)], Offset(14), now), True)
-    child_at = view.share.topics[Topic.DECISIONS].end
+    view.apply_decisions(RecordBatch([name_version(2, 1)], Offset(2), now), True)
+    view.apply_decisions(RecordBatch([name_version(3, 13)], Offset(14), now), True)
+    child_at = view.record_server.topics[Topic.DECISIONS].end
     higher = name_version(5, 8)
-    view.take_decisions(RecordBatch([higher], Offset(9), now, behind=1), False)
-    assert view.share.topics[Topic.DECISIONS].since(child_at).records == [higher]
-    keeper.keep.assert_called_once_with(higher)
+    view.apply_decisions(
+        RecordBatch([higher], Offset(9), now, remaining_records=1), False
+    )
+    assert view.record_server.topics[Topic.DECISIONS].records_since(
+        child_at
+    ).records == [higher]
+    keeper.pin.assert_called_once_with(higher)
     # Those below that already have it are not told again and again.
-    eventlet.sleep(TOLD_LATE_SECONDS)
-    assert not view.share.topics[Topic.DECISIONS].since(child_at).records
+    eventlet.sleep(LATE_RECORD_SECONDS)
+    assert (
+        not view.record_server.topics[Topic.DECISIONS].records_since(child_at).records
+    )
--- a/tests/platform/test_read_tree.py
+++ b/tests/platform/test_read_tree.py
@@ -6,18 +6,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ridgecourse.cluster.share import STALE_SECONDS
+from ridgecourse.cluster.record_server import STALE_SECONDS
 from ridgecourse.core.hubs import Peer
 from ridgecourse.core.ids import DomainName, TargetName
 from ridgecourse.core.read_tree import (
     FAN_OUT,
-    LOADERS_THAT_READ,
-    PASSED_OVER,
-    READER_EACH_SECONDS,
+    MAX_SKIPPED,
+    READING_LOADERS,
+    SECONDS_PER_EXTRA_READER,
     choose_seed,
     gateway_parent,
     loader_parent,
-    may_pass_over,
+    may_skip,
 )
 
 
@@ -74,7 +74,7 @@
         loader_parent(make_peer(number), near, avoided, names)
         for number in range(loaders)
     ]
-    assert parents.count(None) == min(loaders, LOADERS_THAT_READ)
+    assert parents.count(None) == min(loaders, READING_LOADERS)
     assert {parent for parent in parents if parent} <= set(near)
 
 
@@ -94,18 +94,18 @@
 @given(st.floats(STALE_SECONDS, 20.0))
 def test_one_process_goes_on_while_an_answer_is_on_its_way_to_another(age) -> None:
     """Found by review: the link of the one that reads may be the narrow one."""
-    assert may_pass_over(0, age, receiving=True)
-    assert not may_pass_over(1, age, receiving=True)
+    assert may_skip(0, age, receiving=True)
+    assert not may_skip(1, age, receiving=True)
 
 
 @given(st.floats(STALE_SECONDS, 20.0))
 def test_one_more_reads_the_store_the_longer_none_has_heard_of_it(age) -> None:
     passed_over = 0
-    while may_pass_over(passed_over, age, receiving=False):
+    while may_skip(passed_over, age, receiving=False):
         passed_over += 1
-    assert PASSED_OVER <= passed_over <= PASSED_OVER + age / READER_EACH_SECONDS
+    assert MAX_SKIPPED <= passed_over <= MAX_SKIPPED + age / SECONDS_PER_EXTRA_READER
 
 
 def test_who_has_heard_nothing_is_late_like_any_other() -> None:
-    assert may_pass_over(0, inf, receiving=False)
-    assert not may_pass_over(1000, inf, receiving=False)
+    assert may_skip(0, inf, receiving=False)
+    assert not may_skip(1000, inf, receiving=False)
--- a/tests/platform/test_recent_peak.py
+++ b/tests/platform/test_recent_peak.py
@@ -22,4 +22,4 @@
         seen.append((now, span))
     now += later
     faded = [span * exp(-(now - at) / MEMORY_SECONDS) for at, span in seen]
-    assert abs(peak.expect(Seconds(now)) - max(faded, default=0.0)) < 1e-9
+    assert abs(peak.decayed_peak(Seconds(now)) - max(faded, default=0.0)) < 1e-9
--- a/tests/platform/test_record_age.py
+++ b/tests/platform/test_record_age.py
@@ -3,8 +3,8 @@
 from time import monotonic, sleep
 from typing import Any
 
-from ridgecourse.cluster.peer_records import ask_records, to_batch
-from ridgecourse.cluster.share import RecordShare, SharedRecords
+from ridgecourse.cluster.peer_records import fetch_records, to_batch
+from ridgecourse.cluster.record_server import RecordServer, RecordsResponse
 from ridgecourse.core.ids import Offset, Seconds
 from ridgecourse.net.http_client import HttpClient
 from ridgecourse.net.http_server import HttpRequest
@@ -24,7 +24,7 @@
 
     def answer(self, method: str, path: str, query: dict[str, str], body: bytes) -> Any:
         sleep(DELAY)
-        shared = SharedRecords([], Offset(7), 0.1, self.waited)
+        shared = RecordsResponse([], Offset(7), 0.1, self.waited)
         return 200, encode_message(shared)
 
 
@@ -33,7 +33,7 @@
     peer.start()
     try:
         topic = Topic.DECISIONS
-        return ask_records(HttpClient(), peer.address, topic, Offset(0), 2.0).age
+        return fetch_records(HttpClient(), peer.address, topic, Offset(0), 2.0).age
     finally:
         peer.close()
 
@@ -47,34 +47,36 @@
 
 
 def test_a_process_tells_how_long_it_waited() -> None:
-    share = RecordShare()
-    share.topics[Topic.DECISIONS].take(RecordBatch([], Offset(7), Seconds(monotonic())))
+    share = RecordServer()
+    share.topics[Topic.DECISIONS].apply(
+        RecordBatch([], Offset(7), Seconds(monotonic()))
+    )
     path = f"/records/{Topic.DECISIONS.value}/7"
     request = HttpRequest(
         {"REQUEST_METHOD": "GET", "PATH_INFO": path, "QUERY_STRING": "wait=0.2"}
     )
-    shared = decode_message(share.serve(request).body, SharedRecords).unwrap()
+    shared = decode_message(share.serve(request).body, RecordsResponse).unwrap()
     assert 0.15 < shared.waited < 1.0
 
 
 def test_a_record_tells_since_when_it_is_known_on_each_level() -> None:
-    above, below = RecordShare(), RecordShare()
+    above, below = RecordServer(), RecordServer()
     topic = Topic.DECISIONS
     read_at = Seconds(monotonic() - DELAY)
     record = KeyedRecord("config", b"{}", Offset(6))
     batch = RecordBatch([record], Offset(7), Seconds(monotonic()), read_at=read_at)
-    above.topics[topic].take(batch)
-    below.topics[topic].take(to_batch(above.topics[topic].since(Offset(0))))
+    above.topics[topic].apply(batch)
+    below.topics[topic].apply(to_batch(above.topics[topic].records_since(Offset(0))))
     assert above.topics[topic].level == 0
     assert below.topics[topic].level == 1
     assert below.topics[topic].lag >= DELAY
 
 
 def test_quiet_does_not_make_a_record_look_newly_read() -> None:
-    topic = RecordShare().topics[Topic.DECISIONS]
+    topic = RecordServer().topics[Topic.DECISIONS]
     long_ago = Seconds(monotonic() - 100.0)
     record = KeyedRecord("config", b"{}", Offset(6))
-    topic.take(RecordBatch([record], Offset(7), long_ago, read_at=long_ago))
+    topic.apply(RecordBatch([record], Offset(7), long_ago, read_at=long_ago))
     now = Seconds(monotonic())
-    topic.take(RecordBatch([], Offset(7), now, read_at=now))
+    topic.apply(RecordBatch([], Offset(7), now, read_at=now))
     assert topic.lag >= 100.0
--- a/tests/platform/test_relay.py
+++ b/tests/platform/test_relay.py
@@ -9,12 +9,12 @@
 from hypothesis import strategies as st
 from msgspec.json import encode
 
-from ridgecourse.cluster.share import RecordShare, SharedRecords
+from ridgecourse.cluster.record_server import RecordServer, RecordsResponse
 from ridgecourse.core.ids import Offset, Seconds
 from ridgecourse.net.http_server import HttpRequest, HttpRouter
 from ridgecourse.net.record_source import KeyedRecord, RecordBatch, Topic
 from ridgecourse.wire.codec import decode_message
-from ridgecourse_standins.managed import Managed
+from ridgecourse_standins.managed_process import ManagedProcess
 from ridgecourse_standins.platform.store import StoreMode, StoreStandIn
 from ridgecourse_standins.ports import free_address
 
@@ -24,17 +24,17 @@
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.booleans()), max_size=30))
 def test_what_is_shared_is_the_newest_of_each_key(changes) -> None:
-    share = RecordShare()
+    share = RecordServer()
     topic = share.topics[Topic.TARGETS]
     newest: dict[str, KeyedRecord] = {}
     for offset, (key, kept) in enumerate(changes):
         record = KeyedRecord(key, b"x" if kept else b"", Offset(offset))
         newest[key] = record
-        topic.take(RecordBatch([record], Offset(offset + 1), NOW))
+        topic.apply(RecordBatch([record], Offset(offset + 1), NOW))
         # Read once more, as after an outage: nothing goes back.
-        topic.take(RecordBatch([KeyedRecord(key, b"old", Offset(0))], Offset(1), NOW))
+        topic.apply(RecordBatch([KeyedRecord(key, b"old", Offset(0))], Offset(1), NOW))
     for start in range(len(changes) + 1):
-        shared = topic.since(Offset(start))
+        shared = topic.records_since(Offset(start))
         expected = [r for r in newest.values() if r.offset >= start]
         assert list(shared.records) == sorted(expected, key=lambda r: r.offset)
         assert shared.end == len(changes)
@@ -43,7 +43,7 @@
 def test_a_process_that_has_read_nothing_says_so() -> None:
     """Found by review: it answered 500, and who asked stayed away for 5 s."""
     router = HttpRouter()
-    RecordShare().add_routes(router)
+    RecordServer().add_routes(router)
     told: list[str] = []
     environ = {"REQUEST_METHOD": "GET", "PATH_INFO": "/records/decisions/0"}
     list(router(environ, lambda status, headers: told.append(status)))
@@ -53,12 +53,12 @@
 @pytest.mark.parametrize("path", ["decisions/", "decisions/x", "other/0", "", "/0"])
 def test_a_question_that_makes_no_sense_is_answered_so(path: str) -> None:
     environ = {"REQUEST_METHOD": "GET", "PATH_INFO": f"/records/{path}"}
-    assert RecordShare().serve(HttpRequest(environ)).status == 400
+    assert RecordServer().serve(HttpRequest(environ)).status == 400
 
 
 @given(st.binary(max_size=60))
 def test_what_is_no_answer_is_told_apart(data: bytes) -> None:
-    decode_message(data, SharedRecords)
+    decode_message(data, RecordsResponse)
 
 
 class TurnedAwaySite(GatewaySite):
@@ -88,7 +88,7 @@
         path = directory / "other.json"
         path.write_bytes(encode(other))
         command = ["-m", "ridgecourse.platform.gateway_main", str(path)]
-        self.other = Managed("other", command, directory)
+        self.other = ManagedProcess("other", command, directory)
 
     def close(self) -> None:
         self.other.close()
--- a/tests/platform/test_report_rate.py
+++ b/tests/platform/test_report_rate.py
@@ -11,7 +11,7 @@
     report_interval,
     silence_limit,
 )
-from ridgecourse.loader.status import UNCHANGED_SECONDS
+from ridgecourse.loader.status import UNCHANGED_REPORT_SECONDS
 
 
 @pytest.mark.parametrize("gateways", [6, 26, 80, 200])
@@ -39,4 +39,4 @@
 
 
 def test_a_load_that_does_not_change_stays_fresh() -> None:
-    assert UNCHANGED_SECONDS + FAR_INTERVAL_SECONDS < FRESH_SECONDS
+    assert UNCHANGED_REPORT_SECONDS + FAR_INTERVAL_SECONDS < FRESH_SECONDS
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -8,13 +8,13 @@
 
 from ridgecourse_standins.platform.engine import (
     ReceivedRequest,
-    event,
+    format_event,
     refuse,
-    reset,
+    reset_connection,
     send_chunk,
     send_events,
+    send_response,
     send_stream_head,
-    send_whole,
 )
 
 STREAM = ("Model: m0", "Token-Usage: 100,50")
@@ -32,7 +32,7 @@
     assert headers["response-signature"] == "signed-by-engine"
     assert headers["attempt-id"] == f"attempt-{front.attempts}"
     [request] = engine.requests
-    assert request.line == f"GET {site_target} HTTP/1.1"
+    assert request.request_line == f"GET {site_target} HTTP/1.1"
     assert request.header("Host") == "shop.example"
     assert request.header("X-Odd_Name") == "1"
     assert request.values("X-Two") == ["a", "b"]
@@ -55,7 +55,10 @@
     ).encode()
     connection.sendall(head + b"3\r\nabc\r\n4;x=y\r\ndefg\r\n0\r\n\r\n")
     assert connection.recv(12) == b"HTTP/1.1 200"
-    assert [request.body for request in engine.wait_for(2)] == [body, b"abcdefg"]
+    assert [request.body for request in engine.wait_for_requests(2)] == [
+        body,
+        b"abcdefg",
+    ]
 
 
 @pytest.mark.parametrize(
@@ -134,7 +137,7 @@
 
 
 def test_an_unsafe_request_that_broke_off_is_never_called_not_run(front) -> None:
-    engines = [front.add_engine("app", reset) for _ in range(2)]
+    engines = [front.add_engine("app", reset_connection) for _ in range(2)]
     front.start()
     status, headers, _, _ = front.ask("/once/x", method="POST")
     assert status == 502
@@ -143,7 +146,7 @@
 
 
 def test_a_safe_request_that_broke_off_goes_to_another_target(front) -> None:
-    broken = front.add_engine("app", reset)
+    broken = front.add_engine("app", reset_connection)
     sound = front.add_engine("app")
     front.start()
     for _ in range(6):
@@ -157,7 +160,7 @@
     The next engine refused it, and its caller was told that it had not run and never
     would.
     """
-    front.add_engine("app", reset)
+    front.add_engine("app", reset_connection)
     front.add_engine("app", refuse)
     front.start()
     for _ in range(6):
@@ -167,11 +170,11 @@
 def answer_of_another(request: ReceivedRequest) -> None:
     index = [name for name, _ in request.headers].index("Attempt-Id")
     request.headers[index] = ("Attempt-Id", "of-an-earlier-request")
-    send_whole(request)
+    send_response(request)
 
 
 def answer_unsigned(request: ReceivedRequest) -> None:
-    send_whole(request, signed=False)
+    send_response(request, signed=False)
 
 
 def answer_nonsense(request: ReceivedRequest) -> None:
@@ -184,7 +187,7 @@
         f"HTTP/1.1 200 OK\r\nAttempt-Id: {request.header('Attempt-Id')}\r\n"
         "Response-Signature: s\r\nContent-Length: 50\r\n\r\nshort".encode()
     )
-    reset(request)
+    reset_connection(request)
 
 
 def answer_unframed_then_reset(request: ReceivedRequest) -> None:
@@ -192,7 +195,7 @@
         f"HTTP/1.1 200 OK\r\nAttempt-Id: {request.header('Attempt-Id')}\r\n"
         "Response-Signature: s\r\n\r\nhalf".encode()
     )
-    reset(request)
+    reset_connection(request)
 
 
 @pytest.mark.parametrize(
@@ -228,7 +231,7 @@
 
 def test_a_failure_of_the_target_is_passed_on_as_it_is(front) -> None:
     front.add_engine(
-        "app", lambda request: send_whole(request, b"no", "500 Its Own Reason")
+        "app", lambda request: send_response(request, b"no", "500 Its Own Reason")
     )
     front.start()
     status, headers, body, _ = front.ask("/once/x", method="POST")
@@ -241,7 +244,7 @@
     engine = front.add_engine("app", lambda request: silence.wait(10) and None)
     front.start()
     assert front.ask("/short/x")[0] == 504
-    assert front.engines[0].wait_closed(engine.requests[0])
+    assert front.engines[0].wait_until_closed(engine.requests[0])
     silence.set()
 
 
@@ -251,9 +254,9 @@
     front.start()
     connection = front.open()
     front.send(connection, "/safe/x")
-    [request] = engine.wait_for(1)
+    [request] = engine.wait_for_requests(1)
     connection.close()
-    assert engine.wait_closed(request, 2.0)
+    assert engine.wait_until_closed(request, 2.0)
     silence.set()
     assert len(engine.requests) == 1
 
@@ -288,11 +291,11 @@
     while file.readline() != b"\r\n":
         pass
     size = int(file.readline(), 16)
-    assert file.read(size) == event(1)
+    assert file.read(size) == format_event(1)
     proceed.set()
     assert file.readline() == b"\r\n"
     size = int(file.readline(), 16)
-    assert file.read(size) == event(2)
+    assert file.read(size) == format_event(2)
 
 
 def test_a_stream_goes_on_at_another_target(front) -> None:
@@ -300,7 +303,7 @@
         send_stream_head(request)
         send_events(request, 1, 3)
         send_chunk(request, b"id: 4\ndata: half an ev")
-        reset(request)
+        reset_connection(request)
 
     def rest(request: ReceivedRequest) -> None:
         after = int(request.header("Last-Event-Id") or 0)
@@ -316,21 +319,21 @@
     assert first.requests
     assert (status, whole) == (200, True)
     assert headers["response-signature"] == "signed-by-engine"
-    assert body == b"".join(event(number) for number in range(1, 7))
+    assert body == b"".join(format_event(number) for number in range(1, 7))
 
 
 def test_a_stream_that_may_not_be_resumed_ends_torn(front) -> None:
     def torn(request: ReceivedRequest) -> None:
         send_stream_head(request)
         send_events(request, 1, 3)
-        reset(request)
+        reset_connection(request)
 
     front.add_engine("llm", torn, zone="a")
     other = front.add_engine("llm", stream(1, 3), zone="b")
     front.start()
     _, _, body, whole = front.ask("/once-stream/x", method="POST", extra=STREAM)
     assert not whole
-    assert body == b"".join(event(number) for number in range(1, 4))
+    assert body == b"".join(format_event(number) for number in range(1, 4))
     assert other.requests == []
 
 
@@ -348,7 +351,7 @@
     front.send(connection, "/stream/x", method="POST", extra=STREAM)
     assert connection.recv(100)
     connection.close()
-    assert engine.wait_closed(engine.requests[0], 2.0)
+    assert engine.wait_until_closed(engine.requests[0], 2.0)
     proceed.set()
     assert len(engine.requests) == 1
 
@@ -375,7 +378,7 @@
     gateway = front.gateway.running
     gateway.send_signal(signal.SIGSTOP)
     for request in list(held):
-        reset(request)
+        reset_connection(request)
     for caller in callers:
         caller.close()
     gateway.send_signal(signal.SIGCONT)
--- a/tests/platform/test_retry_budget.py
+++ b/tests/platform/test_retry_budget.py
@@ -10,7 +10,7 @@
 )
 
 from ridgecourse.core.retry import RetryBudget
-from ridgecourse.gateway.dispatcher import FEWEST_GATEWAYS
+from ridgecourse.gateway.dispatcher import MIN_GATEWAYS
 
 RATIO = 0.2
 SLACK = 100.0
@@ -25,13 +25,13 @@
         self.history: list[bool] = []
 
     def share(self) -> float:
-        return SLACK / max(FEWEST_GATEWAYS, len(self.budgets))
+        return SLACK / max(MIN_GATEWAYS, len(self.budgets))
 
     @initialize(count=st.integers(1, 40))
     def begin(self, count: int) -> None:
         self.budgets = [RetryBudget(RATIO, 0.0) for _ in range(count)]
         for budget in self.budgets:
-            budget.limit(self.share())
+            budget.set_ceiling(self.share())
             budget.balance = budget.ceiling
 
     @precondition(lambda self: len(self.budgets) < 60)
@@ -40,7 +40,7 @@
         """Another gateway comes; all learn of it, and it begins with its share."""
         self.budgets.append(RetryBudget(RATIO, 0.0))
         for budget in self.budgets:
-            budget.limit(self.share())
+            budget.set_ceiling(self.share())
 
     @rule(index=st.integers(0, 59), count=st.integers(1, 30))
     def request(self, index: int, count: int) -> None:
@@ -51,7 +51,7 @@
     @rule(index=st.integers(0, 59), count=st.integers(1, 30))
     def retry(self, index: int, count: int) -> None:
         for _ in range(count):
-            if self.budgets[index % len(self.budgets)].take_retry():
+            if self.budgets[index % len(self.budgets)].spend_retry():
                 self.history.append(True)
 
     @invariant()
--- a/tests/platform/test_short_waits.py
+++ b/tests/platform/test_short_waits.py
@@ -17,10 +17,10 @@
 import pytest
 
 from ridgecourse.core.ids import ModelName, Seconds, WeightsVersion
-from ridgecourse.core.supersession import AWAY_SECONDS, leaves_time
+from ridgecourse.core.supersession import RESUME_SECONDS, allows_newer_fetch
 from ridgecourse.core.weights import VersionHistory
 from ridgecourse.exchange.catalogue import VersionKey
-from ridgecourse.loader.protocol import EngineReport
+from ridgecourse.loader.engine_control import EngineReport
 from ridgecourse.loader.transfer_watch import TransferWatch
 
 MODEL = ModelName("m")
@@ -37,8 +37,8 @@
     clock = "ridgecourse.loader.transfer_watch.boottime"
     monkeypatch.setattr(clock, lambda: now)
     history = VersionHistory(BOUND_SECONDS)
-    history.name(WHOLE[1], now, Seconds(0.0))
-    history.name(NEWEST[1], now, Seconds(1.39))
+    history.record_version(WHOLE[1], now, Seconds(0.0))
+    history.record_version(NEWEST[1], now, Seconds(1.39))
     owner = Mock(ordered=None)
     owner.view.history.return_value = history
     owner.site.upload_bytes_per_s = 8000.0
@@ -72,5 +72,5 @@
 
 def test_a_loader_is_back_before_its_turn() -> None:
     """What it took above: 0.54 s to begin, 0.31 s until it turned back."""
-    assert not leaves_time(0.54 + 0.31)
-    assert leaves_time(AWAY_SECONDS)
+    assert not allows_newer_fetch(0.54 + 0.31)
+    assert allows_newer_fetch(RESUME_SECONDS)
--- a/tests/platform/test_slow_reads.py
+++ b/tests/platform/test_slow_reads.py
@@ -116,7 +116,7 @@
 
 def asked_newest(domain: DomainSite) -> set[str]:
     """Return who asked the store for the newest decisions."""
-    asked = list(domain.store.newest_asked)
+    asked = list(domain.store.newest_reads)
     return {host for host, topic in asked if topic == DECISIONS_TOPIC}
 
 
--- a/tests/platform/test_stop.py
+++ b/tests/platform/test_stop.py
@@ -8,11 +8,11 @@
 
 from ridgecourse_standins.platform.engine import (
     ReceivedRequest,
-    event,
+    format_event,
     send_chunk,
     send_events,
+    send_response,
     send_stream_head,
-    send_whole,
 )
 
 STREAM = ("Model: m0", "Token-Usage: 100,50")
@@ -37,7 +37,7 @@
         send_chunk(request, b"")
 
     front.add_engine("llm", slow_stream)
-    front.add_engine("app", send_whole)
+    front.add_engine("app", send_response)
     front.start()
     streaming = front.open()
     front.send(streaming, "/stream/x", method="POST", extra=STREAM, deadline_ms=8000)
@@ -56,7 +56,7 @@
     proceed.set()
     _, _, body, whole = receive_answer(streaming)
     assert whole
-    assert body == b"".join(event(number) for number in range(1, 4))
+    assert body == b"".join(format_event(number) for number in range(1, 4))
     assert front.gateway.running.wait(10) == 0
 
 
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -7,9 +7,9 @@
 from gateway_site import make_config, make_route, receive_answer
 from msgspec.json import encode
 
-from ridgecourse.net.figures import FIGURES_PORT
+from ridgecourse.net.figures import METRICS_PORT
 from ridgecourse.platform.names import DECISIONS_TOPIC, TARGETS_TOPIC
-from ridgecourse_standins.platform.engine import send_whole
+from ridgecourse_standins.platform.engine import send_response
 from ridgecourse_standins.platform.store import StoreMode
 
 
@@ -86,17 +86,17 @@
     front.start()
     for number in range(3):
         front.store.put(TARGETS_TOPIC, f"i-gone-{number}", None)
-    front.store.forget_history(TARGETS_TOPIC)
-    front.store.forget_history(DECISIONS_TOPIC)
+    front.store.compact_topic(TARGETS_TOPIC)
+    front.store.compact_topic(DECISIONS_TOPIC)
     config = make_config(9)
     config["routes"].append(make_route("/new/", "safe", "app"))
     front.store.put_config(config)
-    front.store.forget_history(DECISIONS_TOPIC)
+    front.store.compact_topic(DECISIONS_TOPIC)
     front.wait_until(lambda: front.ask("/new/x")[0] == 200)
 
 
 def test_a_key_taken_away_is_refused(front) -> None:
-    front.add_engine("app", send_whole)
+    front.add_engine("app", send_response)
     front.start()
     assert front.ask("/safe/x")[0] == 200
     front.store.put_config(
@@ -133,7 +133,7 @@
     host = f"127.{1 + getpid() % 250}.{1 + getpid() // 250 % 250}.1"
     front.settings["ip"] = host
     front.path.write_bytes(encode(front.settings))
-    return host, FIGURES_PORT
+    return host, METRICS_PORT
 
 
 def test_a_gateway_starts_where_the_port_of_the_figures_is_taken(front) -> None:
@@ -166,9 +166,9 @@
     """Whether a process was late for its timers shows in its figures."""
     address = use_own_figures(front)
     front.start()
-    front.gateway.freeze()
+    front.gateway.pause()
     sleep(0.7)
-    front.gateway.wake()
+    front.gateway.resume()
 
     def lag_seconds() -> float:
         lines = read_figures(address)[1].decode().splitlines()
--- a/tests/platform/test_storm_lag.py
+++ b/tests/platform/test_storm_lag.py
@@ -76,7 +76,7 @@
     def stop_loaders(self) -> None:
         """Stop loaders in turn, for good."""
         for host in LOADERS[:STOPPED]:
-            self.processes.pop(host).running.terminate()
+            self.processes.pop(host).started_process.terminate()
             sleep(STOP_PAUSE_SECONDS)
 
     def kill_gateways(self) -> None:
--- a/tests/platform/test_target_reads.py
+++ b/tests/platform/test_target_reads.py
@@ -15,11 +15,11 @@
 from msgspec.json import encode
 from test_domain_reads import GATEWAYS, DomainSite
 
-from ridgecourse.cluster.share import ToldTargets, TopicRecords
+from ridgecourse.cluster.record_server import TargetChangeFilter, TopicRecords
 from ridgecourse.core.ids import Offset, Seconds
 from ridgecourse.net.record_source import KeyedRecord, RecordBatch
 from ridgecourse.platform.names import TARGETS_TOPIC
-from ridgecourse.platform.records import PlatformRecords
+from ridgecourse.platform.records import PlatformRecordDecoder
 from ridgecourse_standins.platform.store import StoreMode
 
 BEAT_SECONDS = 0.1
@@ -59,11 +59,11 @@
 
     def readers(self) -> set[str]:
         """Return who reads the list from the store now."""
-        asked = len(self.store.asked)
+        asked = len(self.store.offset_reads)
         sleep(WATCHED_SECONDS)
         return {
             host
-            for host, topic in self.store.asked[asked:]
+            for host, topic in self.store.offset_reads[asked:]
             if topic == TARGETS_TOPIC and host in GATEWAYS
         }
 
@@ -124,7 +124,7 @@
     if dies:
         domain.processes[reader].kill()
     else:
-        domain.processes[reader].freeze()
+        domain.processes[reader].pause()
     begun = monotonic()
     domain.store.put_target("i-new", None)
     domain.wait_known("target-gone", others, "i-new")
@@ -152,10 +152,12 @@
         assert not gone
 
 
-def take(told: ToldTargets, records: list[KeyedRecord], whole: bool = False) -> None:
+def take(
+    told: TargetChangeFilter, records: list[KeyedRecord], whole: bool = False
+) -> None:
     end = Offset(max(record.offset for record in records) + 1)
-    changes, _ = PlatformRecords().targets(records)
-    told.take(RecordBatch(records, end, Seconds(monotonic())), changes, whole)
+    changes, _ = PlatformRecordDecoder().targets(records)
+    told.apply(RecordBatch(records, end, Seconds(monotonic())), changes, whole)
 
 
 def make_record(key: str, offset: int, **more) -> KeyedRecord:
@@ -165,29 +167,29 @@
 
 def test_heartbeats_are_not_told_on() -> None:
     shared = TopicRecords()
-    told = ToldTargets(shared)
+    told = TargetChangeFilter(shared)
     take(told, [make_record("i-1", 5, sequence=1)])
     take(told, [make_record("i-1", 6, sequence=2)])
     assert shared.end == 7
-    assert not shared.since(Offset(6)).records
+    assert not shared.records_since(Offset(6)).records
     take(told, [make_record("i-1", 7, state="draining")])
-    assert [record.offset for record in shared.since(Offset(6)).records] == [7]
+    assert [record.offset for record in shared.records_since(Offset(6)).records] == [7]
 
 
 def test_a_target_that_comes_back_unchanged_is_told() -> None:
     shared = TopicRecords()
-    told = ToldTargets(shared)
+    told = TargetChangeFilter(shared)
     take(told, [make_record("i-1", 5)])
     take(told, [KeyedRecord("i-1", b"", Offset(6))])
     take(told, [make_record("i-1", 7)])
-    assert [record.offset for record in shared.since(Offset(6)).records] == [7]
+    assert [record.offset for record in shared.records_since(Offset(6)).records] == [7]
 
 
 def test_a_removal_that_was_passed_over_is_told() -> None:
     """Who reads the whole list after a gap sees no removal, only what is left."""
     shared = TopicRecords()
-    told = ToldTargets(shared)
+    told = TargetChangeFilter(shared)
     take(told, [make_record("i-1", 5), make_record("i-2", 6)])
     take(told, [make_record("i-2", 90)], whole=True)
-    removed = shared.since(Offset(7)).records
+    removed = shared.records_since(Offset(7)).records
     assert [(record.key, record.value) for record in removed] == [("i-1", b"")]
--- a/tests/platform/test_targets.py
+++ b/tests/platform/test_targets.py
@@ -16,7 +16,7 @@
     ServiceName,
     TargetId,
 )
-from ridgecourse.core.targets import (
+from ridgecourse.core.target_list import (
     RETURN_SECONDS,
     ListedTarget,
     TargetList,
@@ -85,7 +85,7 @@
 
     @rule()
     def outage_ends(self) -> None:
-        self.list.outage_ended(self.now)
+        self.list.record_outage_end(self.now)
         self.believed_from = Seconds(self.now + RETURN_SECONDS)
 
     @rule(seconds=st.floats(0.1, 3.0))
@@ -133,7 +133,7 @@
         TargetRecord(name, Offset(i), make_target(name)) for i, name in enumerate(NAMES)
     ]
     targets.apply(first, Seconds(0.0))
-    targets.outage_ended(Seconds(10.0))
+    targets.record_outage_end(Seconds(10.0))
     targets.replace(first[:2], Seconds(10.1))
     assert set(targets.targets) == set(NAMES)
     back = TargetRecord(NAMES[2], Offset(9), make_target(NAMES[2]))
--- a/tests/platform/test_told_loads.py
+++ b/tests/platform/test_told_loads.py
@@ -14,39 +14,41 @@
 
 from ridgecourse.core.engine_load import EngineLoad, EngineStatus
 from ridgecourse.core.ids import Seconds, WeightsVersion
-from ridgecourse.core.report_rate import tells_more
-from ridgecourse.loader.status import UNCHANGED_SECONDS, StatusFeed, Watcher
+from ridgecourse.core.report_rate import differs_from_reported
+from ridgecourse.loader.status import UNCHANGED_REPORT_SECONDS, StatusFeed, Watcher
 from ridgecourse.net.address import Address
 
 LOOK_SECONDS = 0.05
-SILENT_LOOKS = round(UNCHANGED_SECONDS / LOOK_SECONDS) + 1
-STATUS = EngineStatus(WeightsVersion(1), False, 2, 10, 40_000, 1_180_000, unread=0.2)
+SILENT_LOOKS = round(UNCHANGED_REPORT_SECONDS / LOOK_SECONDS) + 1
+STATUS = EngineStatus(
+    WeightsVersion(1), False, 2, 10, 40_000, 1_180_000, prefill_backlog=0.2
+)
 OTHERS: dict[str, Any] = {
     "version": WeightsVersion(2),
     "busy": True,
     "queued": 3,
     "active": 9,
-    "pace": 1.5,
-    "link": 0.3,
+    "slowdown": 1.5,
+    "link_share": 0.3,
     "started": 7,
-    "unread": 0.5,
+    "prefill_backlog": 0.5,
 }
 
 
 @pytest.mark.parametrize("field", OTHERS)
 def test_what_gateways_use_is_told(field: str) -> None:
     other = structs.replace(STATUS, **{field: OTHERS[field]})
-    assert tells_more(STATUS, Seconds(5.0), other, Seconds(5.0))
+    assert differs_from_reported(STATUS, Seconds(5.0), other, Seconds(5.0))
 
 
 def test_memory_and_time_that_passes_are_not() -> None:
-    later = structs.replace(STATUS, cache_used=41_000, unread=0.15)
-    assert not tells_more(STATUS, Seconds(5.0), later, Seconds(5.05))
-    assert tells_more(STATUS, Seconds(5.0), later, Seconds(5.0))
+    later = structs.replace(STATUS, cache_used=41_000, prefill_backlog=0.15)
+    assert not differs_from_reported(STATUS, Seconds(5.0), later, Seconds(5.05))
+    assert differs_from_reported(STATUS, Seconds(5.0), later, Seconds(5.0))
 
 
 def test_a_first_load_is_told() -> None:
-    assert tells_more(None, Seconds(0.0), STATUS, Seconds(5.0))
+    assert differs_from_reported(None, Seconds(0.0), STATUS, Seconds(5.0))
 
 
 def make_feed(near: int, far: int) -> StatusFeed:
@@ -63,7 +65,7 @@
     for look, status in enumerate(statuses):
         due: list[Address] = []
         feed.reports.send = lambda _, addresses, due=due: due.extend(addresses)  # type: ignore[method-assign]
-        feed._report(status, Seconds(100.0 + look * LOOK_SECONDS))
+        feed._send_reports(status, Seconds(100.0 + look * LOOK_SECONDS))
         told.append(len(due))
     return told
 
@@ -71,8 +73,10 @@
 def draining(looks: int) -> Iterator[EngineStatus]:
     """An engine that reads on, and whose memory fills up, while none come or go."""
     for look in range(looks):
-        unread = max(0.0, STATUS.unread - look * LOOK_SECONDS)
-        yield structs.replace(STATUS, cache_used=40_000 + 500 * look, unread=unread)
+        unread = max(0.0, STATUS.prefill_backlog - look * LOOK_SECONDS)
+        yield structs.replace(
+            STATUS, cache_used=40_000 + 500 * look, prefill_backlog=unread
+        )
 
 
 def test_a_load_that_goes_as_reckoned_is_told_as_rarely_as_one_that_stays() -> None:
@@ -85,7 +89,7 @@
 def test_each_gateway_hears_of_a_change_that_came_within_its_interval() -> None:
     """Those elsewhere are told less often; what they missed comes when it is time."""
     feed = make_feed(2, 60)
-    changes = [STATUS, structs.replace(STATUS, queued=3, unread=0.2)]
+    changes = [STATUS, structs.replace(STATUS, queued=3, prefill_backlog=0.2)]
     told = play(feed, iter([changes[0], *changes[1:] * 24]))
     assert told[0] == 62
     assert told[1] == 2
@@ -94,7 +98,7 @@
 
 def test_gateways_reckon_the_same_from_an_old_report() -> None:
     load, fresh = EngineLoad(), EngineLoad()
-    load.report(STATUS, Seconds(5.0))
-    fresh.report(structs.replace(STATUS, unread=0.1), Seconds(5.1))
+    load.record_report(STATUS, Seconds(5.0))
+    fresh.record_report(structs.replace(STATUS, prefill_backlog=0.1), Seconds(5.1))
     now = Seconds(5.12)
-    assert abs(load.unread(now, 4) - fresh.unread(now, 4)) < 1e-9
+    assert abs(load.prefill_backlog(now, 4) - fresh.prefill_backlog(now, 4)) < 1e-9
--- a/tests/platform/test_turns.py
+++ b/tests/platform/test_turns.py
@@ -11,7 +11,7 @@
 import pytest
 
 from ridgecourse.core.ids import Seconds
-from ridgecourse.core.supersession import LATE_START_SECONDS, start_wait
+from ridgecourse.core.supersession import LAST_SWITCH_LEAD_SECONDS, switch_wait
 
 OUT_SECONDS = 2.0
 STEP_SECONDS = 0.05
@@ -22,12 +22,12 @@
     """Return after how many seconds each engine changes."""
     bound = Seconds(WHOLE_AT + span)
     places = [rank / (engines - 1) for rank in range(engines)]
-    return [start_wait(bound, None, WHOLE_AT, WHOLE_AT, place) for place in places]
+    return [switch_wait(bound, None, WHOLE_AT, WHOLE_AT, place) for place in places]
 
 
 def take_in_halves(engines: int, span: float) -> Sequence[float]:
     """The other way: half of them at once, the rest as late as they may."""
-    last = span - LATE_START_SECONDS
+    last = span - LAST_SWITCH_LEAD_SECONDS
     return [0.0 if rank % 2 == 0 else last for rank in range(engines)]
 
 
@@ -64,4 +64,4 @@
 def test_all_have_changed_when_they_must() -> None:
     waits = take_in_turn(13, 8.0)
     assert waits[0] == 0.0
-    assert max(waits) <= 8.0 - LATE_START_SECONDS + 1e-9
+    assert max(waits) <= 8.0 - LAST_SWITCH_LEAD_SECONDS + 1e-9
--- a/tests/platform/test_weight_figures.py
+++ b/tests/platform/test_weight_figures.py
@@ -10,7 +10,8 @@
 import eventlet
 import pytest
 
-from ridgecourse.core.fetches import ORIGIN, Fetch, Member, PlanPolicy
+from ridgecourse.core.byte_counters import PayloadKind
+from ridgecourse.core.fetch_types import ORIGIN, Fetch, Member, PlanPolicy
 from ridgecourse.core.hubs import Peer
 from ridgecourse.core.ids import (
     ChunkDigest,
@@ -21,22 +22,26 @@
     TargetName,
     WeightsVersion,
 )
-from ridgecourse.core.links import Cargo
-from ridgecourse.core.manifest import ChunkPlace, FileEntry, Manifest, encode_manifest
+from ridgecourse.core.manifest import (
+    ChunkLocation,
+    FileEntry,
+    Manifest,
+    encode_manifest,
+)
 from ridgecourse.exchange.catalogue import Catalogue
 from ridgecourse.exchange.context import ExchangeContext, LinkPolicy
 from ridgecourse.exchange.holding import Holding
 from ridgecourse.exchange.origin import ChunkOrigin
 from ridgecourse.exchange.store import ChunkStore
 from ridgecourse.exchange.transfer import Transfer
-from ridgecourse.net.figures import Figures
+from ridgecourse.net.figures import ProcessMetrics
 
 REGIONS = {"hall-a": "north", "hall-b": "north", "hall-c": "south"}
 
 
-def make_context(http: Mock) -> tuple[ExchangeContext, Figures]:
+def make_context(http: Mock) -> tuple[ExchangeContext, ProcessMetrics]:
     events = Mock()
-    events.figures = Figures()
+    events.figures = ProcessMetrics()
     context = ExchangeContext(
         Member(TargetName("10.0.0.1"), DomainName("hall-a")),
         events,
@@ -56,9 +61,9 @@
 )
 def test_bytes_of_weights_are_counted_by_link(sender: str, link: str) -> None:
     context, figures = make_context(Mock())
-    context.count_received(Cargo.WEIGHTS, 700, DomainName(sender))
-    context.count_received(Cargo.WEIGHTS, 50, DomainName(sender))
-    context.count_drawn(Cargo.WEIGHTS, 11)
+    context.count_received(PayloadKind.WEIGHTS, 700, DomainName(sender))
+    context.count_received(PayloadKind.WEIGHTS, 50, DomainName(sender))
+    context.count_received_from_origin(PayloadKind.WEIGHTS, 11)
     assert list(figures.lines()) == sorted(
         [
             f"ridgecourse_bytes_weights_{link}_total 750",
@@ -75,7 +80,7 @@
     context, figures = make_context(http)
     catalogue = Catalogue(context, Mock())
     peer = Peer(TargetName("10.0.0.9"), DomainName("hall-c"), "10.0.0.9:1", "")
-    catalogue.ask(peer, (ModelName("m"), WeightsVersion(2)))
+    catalogue.fetch_manifest(peer, (ModelName("m"), WeightsVersion(2)))
     assert list(figures.lines()) == [
         f"ridgecourse_bytes_manifest_abroad_total {len(data)}"
     ]
@@ -85,12 +90,12 @@
     """Sends each chunk in two pieces, beside others."""
 
     def __init__(self) -> None:
-        self.drawn = 0
+        self.received_bytes = 0
 
-    def chunk(self, place: ChunkPlace, stall: float) -> bytes:
+    def chunk(self, place: ChunkLocation, stall: float) -> bytes:
         for _ in range(2):
             eventlet.sleep(0)
-            self.drawn += place.length // 2
+            self.received_bytes += place.length // 2
         return place.digest.encode()
 
 
--- a/tests/platform/test_weights.py
+++ b/tests/platform/test_weights.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ridgecourse.core.fetches import ORIGIN, FetchFailure, Member, PlanPolicy
+from ridgecourse.core.fetch_types import ORIGIN, FetchFailure, Member, PlanPolicy
 from ridgecourse.core.hubs import Peer, choose_hubs
 from ridgecourse.core.ids import (
     ChunkDigest,
@@ -15,7 +15,7 @@
     WeightsVersion,
 )
 from ridgecourse.core.planner import ChunkPlanner
-from ridgecourse.core.supersession import TransferPlan, goes_on, should_finish
+from ridgecourse.core.supersession import TransferPlan, should_continue, should_finish
 from ridgecourse.core.weights import FIRST_VERSION, VersionAge, VersionHistory
 from ridgecourse.net.throttle import AdaptiveRate
 
@@ -23,7 +23,7 @@
 
 
 def name(history: VersionHistory, version: int, now: float) -> bool:
-    return history.name(WeightsVersion(version), Seconds(now), Seconds(now))
+    return history.record_version(WeightsVersion(version), Seconds(now), Seconds(now))
 
 
 @given(st.lists(st.tuples(st.integers(1, 9), st.floats(0.0, 5.0)), max_size=8))
@@ -39,9 +39,11 @@
             accepted.append((number, now))
     for time in (now, now + BOUND / 2, now + BOUND + 5):
         due = [number for number, named in accepted if named + BOUND <= time]
-        assert history.required(Seconds(time)) == max(due, default=FIRST_VERSION)
+        assert history.required_version(Seconds(time)) == max(
+            due, default=FIRST_VERSION
+        )
         for version in range(1, 10):
-            begin_by = history.begin_by(WeightsVersion(version))
+            begin_by = history.start_deadline(WeightsVersion(version))
             allowed = begin_by is None or time < begin_by
             assert allowed == all(number <= version for number in due)
 
@@ -50,24 +52,24 @@
     history = VersionHistory(BOUND)
     name(history, 2, 0.0)
     name(history, 3, 4.0)
-    assert history.begin_by(WeightsVersion(1)) == BOUND
-    assert history.begin_by(WeightsVersion(2)) == 4.0 + BOUND
-    assert history.begin_by(WeightsVersion(3)) is None
+    assert history.start_deadline(WeightsVersion(1)) == BOUND
+    assert history.start_deadline(WeightsVersion(2)) == 4.0 + BOUND
+    assert history.start_deadline(WeightsVersion(3)) is None
 
 
 def test_nothing_begins_on_older_weights_while_a_name_is_not_dated() -> None:
     history = VersionHistory(BOUND)
-    assert history.name(WeightsVersion(2), Seconds(100.0), None)
-    assert history.required(Seconds(100.0)) == 2
-    assert history.begin_by(WeightsVersion(1)) == 100.0
+    assert history.record_version(WeightsVersion(2), Seconds(100.0), None)
+    assert history.required_version(Seconds(100.0)) == 2
+    assert history.start_deadline(WeightsVersion(1)) == 100.0
     assert list(history.ages(ModelName("m"), Seconds(100.0))) == []
     # Another process knows when it was named.
-    assert history.date(WeightsVersion(2), Seconds(97.0))
-    assert history.begin_by(WeightsVersion(1)) == 97.0 + BOUND
-    assert not history.date(WeightsVersion(2), Seconds(99.0))
-    assert history.date(WeightsVersion(2), Seconds(96.0))
-    assert history.date(WeightsVersion(2), Seconds(97.0)) is False
-    assert not history.date(WeightsVersion(3), Seconds(99.0))
+    assert history.record_naming_time(WeightsVersion(2), Seconds(97.0))
+    assert history.start_deadline(WeightsVersion(1)) == 97.0 + BOUND
+    assert not history.record_naming_time(WeightsVersion(2), Seconds(99.0))
+    assert history.record_naming_time(WeightsVersion(2), Seconds(96.0))
+    assert history.record_naming_time(WeightsVersion(2), Seconds(97.0)) is False
+    assert not history.record_naming_time(WeightsVersion(3), Seconds(99.0))
     ages = list(history.ages(ModelName("m"), Seconds(100.0)))
     assert ages == [VersionAge(ModelName("m"), WeightsVersion(2), 4.0)]
 
@@ -76,8 +78,8 @@
     """Found by reading: who asks the store each 5 s dates a name as much too early."""
     history = VersionHistory(BOUND)
     name(history, 2, 100.0)
-    assert not history.date(WeightsVersion(2), Seconds(95.0))
-    assert history.begin_by(WeightsVersion(1)) == 100.0 + BOUND
+    assert not history.record_naming_time(WeightsVersion(2), Seconds(95.0))
+    assert history.start_deadline(WeightsVersion(1)) == 100.0 + BOUND
 
 
 def test_a_bound_told_after_a_start_is_not_put_off_by_a_newer_name() -> None:
@@ -87,12 +89,12 @@
     until the newer one's bound, 8 s longer.
     """
     history = VersionHistory(BOUND)
-    assert history.name(WeightsVersion(4), Seconds(100.0), None)
-    assert history.date(WeightsVersion(3), Seconds(94.0))
-    assert history.date(WeightsVersion(4), Seconds(99.0))
-    assert history.begin_by(WeightsVersion(2)) == 94.0 + BOUND
-    assert history.begin_by(WeightsVersion(3)) == 99.0 + BOUND
-    assert not history.date(WeightsVersion(5), Seconds(99.0))
+    assert history.record_version(WeightsVersion(4), Seconds(100.0), None)
+    assert history.record_naming_time(WeightsVersion(3), Seconds(94.0))
+    assert history.record_naming_time(WeightsVersion(4), Seconds(99.0))
+    assert history.start_deadline(WeightsVersion(2)) == 94.0 + BOUND
+    assert history.start_deadline(WeightsVersion(3)) == 99.0 + BOUND
+    assert not history.record_naming_time(WeightsVersion(5), Seconds(99.0))
 
 
 def test_a_transfer_near_its_end_is_finished() -> None:
@@ -159,7 +161,7 @@
     planner = make_planner(Member(TargetName("loader"), DomainName("a")), HUBS)
     assert planner.neighbours() == [TargetName("hub-a")]
     assert list(planner.plan(Seconds(0.1))) == []
-    planner.peer_holds(TargetName("hub-a"), CHUNKS[:5], Seconds(0.2))
+    planner.record_peer_chunks(TargetName("hub-a"), CHUNKS[:5], Seconds(0.2))
     fetches = list(planner.plan(Seconds(0.3)))
     assert fetches
     assert {fetch.source for fetch in fetches} == {TargetName("hub-a")}
@@ -179,7 +181,7 @@
             for fetch in planner.plan(Seconds(0.1)):
                 assert fetch.source == ORIGIN
                 drawn.append(fetch.digest)
-                planner.arrived(fetch.digest, ORIGIN, Seconds(0.1))
+                planner.record_arrival(fetch.digest, ORIGIN, Seconds(0.1))
     assert sorted(drawn) == sorted(set(drawn)) == CHUNKS
 
 
@@ -211,11 +213,11 @@
 def test_half_of_the_engines_finish_the_first_of_two_versions_far_apart() -> None:
     current = TransferPlan(3.0, Seconds(8.0))
     newer = TransferPlan(5.7, Seconds(12.0))
-    assert goes_on(current, newer, Seconds(4.0), early=True)
-    assert not goes_on(current, newer, Seconds(4.0), early=False)
+    assert should_continue(current, newer, Seconds(4.0), early=True)
+    assert not should_continue(current, newer, Seconds(4.0), early=False)
     # Nearly here: all do.
     nearly = TransferPlan(1.0, Seconds(8.0))
-    assert goes_on(nearly, newer, Seconds(4.0), early=False)
+    assert should_continue(nearly, newer, Seconds(4.0), early=False)
 
 
 def draw_after_an_outage(away: float, fetch_seconds: float = 0.05) -> int:
@@ -226,27 +228,27 @@
     planners = {hub.target: make_planner(hub, HUBS, policy) for hub in HUBS}
     ends: list[tuple[float, TargetName, ChunkDigest]] = []
     sent, now = 0, 0.1
-    while not all(planner.complete() for planner in planners.values()):
+    while not all(planner.is_complete() for planner in planners.values()):
         assert now < away + 20.0, "the hubs have not drawn it"
         for entry in [entry for entry in ends if entry[0] <= now]:
             ends.remove(entry)
             _, target, digest = entry
             if now < away:
-                planners[target].failed(
+                planners[target].record_failure(
                     digest, ORIGIN, FetchFailure.STALLED, Seconds(now)
                 )
                 continue
             sent += 1
-            planners[target].arrived(digest, ORIGIN, Seconds(now))
+            planners[target].record_arrival(digest, ORIGIN, Seconds(now))
             for name, planner in planners.items():
                 if name != target:
-                    planner.peer_holds(target, [digest], Seconds(now))
+                    planner.record_peer_chunks(target, [digest], Seconds(now))
         for target, planner in planners.items():
             for fetch in list(planner.plan(Seconds(now))):
                 if fetch.source == ORIGIN:
                     ends.append((now + fetch_seconds, target, fetch.digest))
                 else:
-                    planner.arrived(fetch.digest, fetch.source, Seconds(now))
+                    planner.record_arrival(fetch.digest, fetch.source, Seconds(now))
         now += 0.01
     return sent
 
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -15,7 +15,7 @@
 
 
 def traffic(here: Site, entry: int, weight: int, **header: object) -> dict[str, object]:
-    return here.cluster.admin(
+    return here.cluster.call_admin(
         "SetTraffic",
         entry,
         fleet=FLEET,
@@ -26,7 +26,7 @@
 
 
 def service_revision(here: Site, entry: int = 0) -> int:
-    reply = here.cluster.admin("Show", entry, fleet=FLEET)
+    reply = here.cluster.call_admin("Show", entry, fleet=FLEET)
     found = [o for o in reply["objects"] if o["kind"] == "service"]
     return max(int(o["revision"]) for o in found if o["name"] == MODEL_SERVICE)
 
@@ -38,7 +38,7 @@
 
 
 def wait_agreed(here: Site) -> None:
-    here.cluster.wait("all hold one state", lambda: len(digests(here)) == 1)
+    here.cluster.wait_until("all hold one state", lambda: len(digests(here)) == 1)
 
 
 def test_a_change_is_in_force_everywhere(site: Callable[[Plan], Site]) -> None:
@@ -72,7 +72,7 @@
     site: Callable[[Plan], Site],
 ) -> None:
     here = site(PLAN)
-    here.cluster.fault("log", lose_replies=1)
+    here.cluster.set_faults("log", lose_replies=1)
     first = traffic(here, 0, 7, changeId="c1")
     assert first["status"] == ACCEPTED
     again = traffic(here, 1, 7, changeId="c1")
@@ -83,13 +83,13 @@
     site: Callable[[Plan], Site],
 ) -> None:
     here = site(PLAN)
-    here.cluster.fault("log", down=True)
+    here.cluster.set_faults("log", down=True)
     reply = traffic(here, 0, 3, changeId="c2", deadlineMs=500)
     assert reply["status"] == UNKNOWN
-    here.cluster.fault("log", down=False)
+    here.cluster.set_faults("log", down=False)
     assert traffic(here, 0, 3, changeId="c2")["status"] == ACCEPTED
     wait_agreed(here)
-    fate = here.cluster.admin("GetChange", 1, changeId="c2")
+    fate = here.cluster.call_admin("GetChange", 1, changeId="c2")
     assert fate["status"] == ACCEPTED
 
 
@@ -99,7 +99,7 @@
     here = site(PLAN)
     traffic(here, 0, 9)
     wait_agreed(here)
-    here.cluster.fault("log", down=True)
+    here.cluster.set_faults("log", down=True)
     entry = here.cluster.entries[0].managed
     entry.kill()
     entry.start()
@@ -109,7 +109,7 @@
 
 def test_an_entry_that_knows_nothing_is_not_ready(site: Callable[[Plan], Site]) -> None:
     here = site(PLAN._replace(domains=("a",)))
-    here.cluster.fault("log", down=True)
+    here.cluster.set_faults("log", down=True)
     entry = here.cluster.entries[0]
     entry.managed.kill()
     entry.managed.start()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -143,7 +143,7 @@
 
     @rule()
     def late_reader_asks_the_first(self) -> None:
-        self.late.take(self.first.above(self.late.offset))
+        self.late.apply(self.first.updates_since(self.late.offset))
         assert self.late.offset == self.first.offset
 
     @invariant()
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -5,7 +5,7 @@
 from conftest import Site
 from test_changes import traffic, wait_agreed
 
-from ridgecourse_standins.caller import prompt_body
+from ridgecourse_standins.client import prompt_body
 from ridgecourse_standins.cluster import MODEL_SERVICE, PLAIN_SERVICE, Plan
 
 PLAN = Plan(domains=("a", "b"), entries=1, targets=1, plain=1, relayed=True)
@@ -22,7 +22,7 @@
 def send(here: Site, entry: int, **options: object) -> str:
     body = prompt_body()
     answer = here.caller.send(MODEL_SERVICE, body, entry, **options)  # type: ignore[arg-type]
-    assert answer.whole or answer.outcome != "completed"
+    assert answer.correct or answer.outcome != "completed"
     return answer.outcome
 
 
@@ -71,7 +71,7 @@
     here.cluster.cut(("b", "platform"))
     here.cluster.entries[1].managed.wait_event("log-lost")
     assert traffic(here, 0, 3)["status"] == ACCEPTED
-    here.cluster.wait("b has it", lambda: offset(here, 1) == offset(here, 0))
+    here.cluster.wait_until("b has it", lambda: offset(here, 1) == offset(here, 0))
     wait_agreed(here)
 
 
@@ -88,7 +88,7 @@
     third.managed.start()
     third.managed.wait_event("config-from-peer")
     fourth.managed.kill()
-    here.cluster.wait(
+    here.cluster.wait_until(
         "the own target is seen", lambda: any(t.get("ready") for t in here.targets(2))
     )
     assert send(here, 2) == "completed"
--- a/tests/test_draw_order.py
+++ b/tests/test_draw_order.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ridgecourse.core.draw_order import Draw, goes_first
+from ridgecourse.core.fetch_order import PendingFetch, is_fetched_first
 from ridgecourse.core.ids import Seconds
 
 NAMED = 18.0
@@ -21,9 +21,9 @@
 def at_second_name(draw_seconds: float, valid: float) -> bool:
     """Tell whether the older version goes first when the newer one has been seen."""
     drawn = APART_SECONDS / draw_seconds
-    older = Draw(draw_seconds * (1 - drawn), Seconds(NAMED + valid))
-    newer = Draw(draw_seconds, Seconds(NAMED + APART_SECONDS + valid))
-    return goes_first(older, newer, Seconds(NAMED + APART_SECONDS + SEEN_SECONDS))
+    older = PendingFetch(draw_seconds * (1 - drawn), Seconds(NAMED + valid))
+    newer = PendingFetch(draw_seconds, Seconds(NAMED + APART_SECONDS + valid))
+    return is_fetched_first(older, newer, Seconds(NAMED + APART_SECONDS + SEEN_SECONDS))
 
 
 def test_with_time_enough_the_newer_version_is_drawn_alone() -> None:
@@ -37,16 +37,16 @@
 
 
 def test_after_the_outage_the_newer_version_goes_on_alone() -> None:
-    older = Draw(1.9, Seconds(31.4))
-    newer = Draw(3.8, Seconds(33.4))
-    assert not goes_first(older, newer, Seconds(26.5))
+    older = PendingFetch(1.9, Seconds(31.4))
+    newer = PendingFetch(3.8, Seconds(33.4))
+    assert not is_fetched_first(older, newer, Seconds(26.5))
 
 
 def test_versions_far_apart_are_both_drawn() -> None:
     """Nothing may be begun on what engines have in 2 s; the older serves for 9 s."""
-    older = Draw(0.4, Seconds(32.0))
-    newer = Draw(4.3, Seconds(41.0))
-    assert goes_first(older, newer, Seconds(30.0))
+    older = PendingFetch(0.4, Seconds(32.0))
+    newer = PendingFetch(4.3, Seconds(41.0))
+    assert is_fetched_first(older, newer, Seconds(30.0))
 
 
 times = st.floats(0.0, 60.0, allow_nan=False)
@@ -56,5 +56,7 @@
 def test_an_older_version_that_takes_longer_never_goes_first(
     more: float, newer: float, bound: float, apart: float, now: float
 ) -> None:
-    older = Draw(newer + more, Seconds(bound))
-    assert not goes_first(older, Draw(newer, Seconds(bound + apart)), Seconds(now))
+    older = PendingFetch(newer + more, Seconds(bound))
+    assert not is_fetched_first(
+        older, PendingFetch(newer, Seconds(bound + apart)), Seconds(now)
+    )
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -83,7 +83,7 @@
 def test_a_leaving_target_refuses_whoever_asks(site: Callable[[Plan], Site]) -> None:
     here = site(PLAN)
     here.cluster.wait_ready()
-    here.cluster.change("LeaveTarget", target="plain-0")
+    here.cluster.make_change("LeaveTarget", target="plain-0")
     here.cluster.agents[0].managed.wait_event("target-leaving")
     assert post(here, "/work", work(here, "r1"))[0] == "not-run leaving"
     assert here.calls() == {}
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -21,7 +21,7 @@
 from ridgecourse.net.address import parse_address
 from ridgecourse.net.settings import Settings, load_settings, parse_settings
 from ridgecourse.wire.codec import decode_message
-from ridgecourse.wire.control import Holds
+from ridgecourse.wire.control import HeldChunks
 from ridgecourse.wire.entry_control import (
     AgentMessage,
     EntryMessage,
@@ -38,7 +38,7 @@
     AgentMessage,
     EntryMessage,
     FirstMessage,
-    Holds,
+    HeldChunks,
     Work,
     FenceRequest,
     FenceReply,
--- a/tests/test_kept_connections.py
+++ b/tests/test_kept_connections.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ridgecourse.net.http_client import ExchangeFailed, NoConnection
-from ridgecourse.net.kept_connections import KeptConnections
+from ridgecourse.net.kept_connections import PersistentConnections
 from ridgecourse_standins.ports import free_address
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -45,10 +45,10 @@
     made.listener.close()
 
 
-def start(answerer: Answerer, *plans: list[bytes]) -> KeptConnections:
+def start(answerer: Answerer, *plans: list[bytes]) -> PersistentConnections:
     answerer.plans = list(plans)
     answerer.thread.start()
-    return KeptConnections(answerer.address, "127.0.0.1")
+    return PersistentConnections(answerer.address, "127.0.0.1")
 
 
 def test_questions_share_a_connection(answerer) -> None:
@@ -81,7 +81,7 @@
     kept = start(answerer, [answer])
     with pytest.raises(ExchangeFailed):
         kept.get("/", 2.0)
-    assert not kept.idle
+    assert not kept.idle_connections
 
 
 def test_silence_ends_when_the_time_is_up(answerer) -> None:
@@ -93,4 +93,4 @@
 
 def test_a_process_that_is_not_there_is_told_apart() -> None:
     with pytest.raises(NoConnection):
-        KeptConnections(free_address()).get("/", 2.0)
+        PersistentConnections(free_address()).get("/", 2.0)
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -6,7 +6,7 @@
 
 from conftest import Site
 
-from ridgecourse_standins.caller import Answer, prompt_body
+from ridgecourse_standins.client import Answer, prompt_body
 from ridgecourse_standins.cluster import MODEL_SERVICE, PLAIN_SERVICE, Plan
 
 PLAIN = Plan(domains=("a", "b"), entries=1, targets=0, plain=2)
@@ -68,9 +68,9 @@
 ) -> None:
     here = site(PLAIN)
     here.cluster.wait_ready()
-    here.cluster.fault("log", slow_seconds=0.5)
+    here.cluster.set_faults("log", slow_seconds=0.5)
     thread, answers = send_later(here, 0, "deed", "k")
-    here.cluster.wait("the claim is in the log", lambda: here.claims() == 1)
+    here.cluster.wait_until("the claim is in the log", lambda: here.claims() == 1)
     here.cluster.entries[0].managed.kill()
     thread.join()
     assert answers[0].outcome == "unknown"
@@ -84,12 +84,12 @@
 ) -> None:
     here = site(PLAIN)
     here.cluster.wait_ready()
-    here.cluster.fault("log", slow_seconds=0.5)
+    here.cluster.set_faults("log", slow_seconds=0.5)
     thread, answers = send_later(here, 0, "deed", "k")
-    here.cluster.wait("the claim is in the log", lambda: here.claims() == 1)
-    here.cluster.entries[0].managed.freeze()
+    here.cluster.wait_until("the claim is in the log", lambda: here.claims() == 1)
+    here.cluster.entries[0].managed.pause()
     second = here.caller.send(PLAIN_SERVICE, "deed", 1, key="k", deadline=20.0)
-    here.cluster.entries[0].managed.wake()
+    here.cluster.entries[0].managed.resume()
     thread.join()
     assert second.outcome == "completed"
     assert answers[0].outcome in ("not-run", "unknown")
@@ -99,7 +99,7 @@
 def test_a_lost_reply_to_a_claim(site: Callable[[Plan], Site]) -> None:
     here = site(PLAIN)
     here.cluster.wait_ready()
-    here.cluster.fault("log", lose_replies=1)
+    here.cluster.set_faults("log", lose_replies=1)
     answer = here.caller.send(PLAIN_SERVICE, "quote", 0, key="k")
     assert answer.outcome == "completed"
     assert here.claims() == 2
@@ -111,7 +111,7 @@
 ) -> None:
     here = site(PLAIN)
     here.cluster.wait_ready()
-    here.cluster.fault("log", down=True)
+    here.cluster.set_faults("log", down=True)
     keyed = here.caller.send(PLAIN_SERVICE, "keyed", 0, key="k", deadline=20.0)
     plain = here.caller.send(PLAIN_SERVICE, "unkeyed", 0)
     assert (keyed.outcome, keyed.reason) == ("not-run", "no-log")
@@ -126,7 +126,7 @@
     here = site(PLAIN)
     here.cluster.wait_ready()
     for number in range(2):
-        here.cluster.fault(f"engine-plain-{number}", lose_replies=1)
+        here.cluster.set_faults(f"engine-plain-{number}", lose_replies=1)
     answer = here.caller.send(PLAIN_SERVICE, "quote", 0)
     assert answer.outcome == "unknown"
     assert here.calls() == {"quote": 1}
@@ -138,9 +138,9 @@
     here = site(PLAIN)
     here.cluster.wait_ready()
     for number in range(2):
-        here.cluster.fault(f"engine-plain-{number}", slow_seconds=1.0)
+        here.cluster.set_faults(f"engine-plain-{number}", slow_seconds=1.0)
     thread, answers = send_later(here, 0, "quote", "")
-    here.cluster.wait("the call arrived", lambda: bool(here.calls()))
+    here.cluster.wait_until("the call arrived", lambda: bool(here.calls()))
     for node in here.cluster.agents:
         node.managed.kill()
     thread.join()
@@ -153,11 +153,11 @@
 ) -> None:
     here = site(MODEL)
     here.roll_out("v1", 1)
-    here.cluster.fault("engine-a-0", fail_after=3)
+    here.cluster.set_faults("engine-a-0", fail_after=3)
     for _ in range(8):
         answer = here.caller.send(MODEL_SERVICE, prompt_body(12), 0, repeatable=True)
         assert answer.outcome == "completed"
-        assert answer.whole
+        assert answer.correct
 
 
 def test_a_broken_stream_ends_as_unknown_if_not_repeatable(
@@ -166,7 +166,7 @@
     here = site(MODEL)
     here.roll_out("v1", 1)
     for number in range(2):
-        here.cluster.fault(f"engine-a-{number}", fail_after=3)
+        here.cluster.set_faults(f"engine-a-{number}", fail_after=3)
     answer = here.caller.send(MODEL_SERVICE, prompt_body(12), 0)
     assert answer.outcome == "unknown"
     executions = sum(
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from ridgecourse.core.fetches import ORIGIN, Fetch, FetchFailure, Member, PlanPolicy
+from ridgecourse.core.fetch_types import ORIGIN, Fetch, FetchFailure, Member, PlanPolicy
 from ridgecourse.core.ids import (
     ChunkDigest,
     DomainName,
@@ -55,25 +55,25 @@
     def peer_holds(self, data: st.DataObject, chunks: set[ChunkDigest]) -> None:
         peer = data.draw(st.sampled_from(sorted(self.known)))
         self.known[peer] |= chunks
-        self.planner.peer_holds(peer, chunks, self.now)
+        self.planner.record_peer_chunks(peer, chunks, self.now)
         self.plan()
 
     @rule(data=st.data())
     def peer_lost(self, data: st.DataObject) -> None:
         peer = data.draw(st.sampled_from(sorted(self.known)))
         self.known[peer].clear()
-        self.planner.peer_lost(peer)
+        self.planner.drop_peer(peer)
 
     @rule(chunks=st.sets(st.sampled_from(CHUNKS)))
     def heard_of(self, chunks: set[ChunkDigest]) -> None:
-        self.planner.fleet_holds(chunks, self.now)
+        self.planner.record_fleet_chunks(chunks, self.now)
 
     @rule(index=st.integers(0, 20))
     def arrive(self, index: int) -> None:
         if not self.flying:
             return
         fetch = self.flying.pop(index % len(self.flying))
-        fresh = self.planner.arrived(fetch.digest, fetch.source, self.now)
+        fresh = self.planner.record_arrival(fetch.digest, fetch.source, self.now)
         assert fresh == (fetch.digest not in self.got)
         self.got.add(fetch.digest)
         self.plan()
@@ -83,7 +83,7 @@
         if not self.flying:
             return
         fetch = self.flying.pop(index % len(self.flying))
-        self.planner.failed(fetch.digest, fetch.source, why, self.now)
+        self.planner.record_failure(fetch.digest, fetch.source, why, self.now)
         if why is FetchFailure.MISSING and fetch.source != ORIGIN:
             self.known[fetch.source].discard(fetch.digest)
         self.plan()
@@ -98,11 +98,11 @@
         """With a working origin and nobody else, all chunks arrive."""
         for peer in self.known:
             self.known[peer].clear()
-            self.planner.peer_lost(peer)
+            self.planner.drop_peer(peer)
         for _ in range(4 * len(CHUNKS)):
             while self.flying:
                 fetch = self.flying.pop()
-                self.planner.arrived(fetch.digest, fetch.source, self.now)
+                self.planner.record_arrival(fetch.digest, fetch.source, self.now)
                 self.got.add(fetch.digest)
             self.now = Seconds(self.now + LONG)
             self.plan()
@@ -125,7 +125,7 @@
         if hasattr(self, "planner"):
             assert self.planner.held == self.got
             assert set(self.planner.missing) == set(CHUNKS) - self.got
-            assert self.planner.complete() == (self.got == set(CHUNKS))
+            assert self.planner.is_complete() == (self.got == set(CHUNKS))
 
 
 TestPlanner = PlannerMachine.TestCase
@@ -172,8 +172,8 @@
         outside = [t for t in planner.sources if not t.startswith(member.domain)]
         if not outside or not local:
             continue
-        planner.peer_holds(local[0], CHUNKS, Seconds(0.0))
-        planner.peer_holds(outside[0], CHUNKS, Seconds(0.0))
+        planner.record_peer_chunks(local[0], CHUNKS, Seconds(0.0))
+        planner.record_peer_chunks(outside[0], CHUNKS, Seconds(0.0))
         assert all(f.source not in outside for f in planner.plan(Seconds(0.0)))
 
 
@@ -185,13 +185,13 @@
         outside = [t for t in planner.sources if not t.startswith(member.domain)]
         if not outside or not local:
             continue
-        planner.peer_holds(local[0], CHUNKS, Seconds(0.0))
-        planner.peer_holds(outside[0], CHUNKS, Seconds(0.0))
+        planner.record_peer_chunks(local[0], CHUNKS, Seconds(0.0))
+        planner.record_peer_chunks(outside[0], CHUNKS, Seconds(0.0))
         sources = set()
         for step in range(200):
             now = Seconds(float(step))
             for fetch in list(planner.plan(now)):
                 sources.add(fetch.source)
                 why = FetchFailure.STALLED
-                planner.failed(fetch.digest, fetch.source, why, now)
+                planner.record_failure(fetch.digest, fetch.source, why, now)
         assert outside[0] in sources
