--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -7,7 +7,7 @@
 from conftest import CHUNK, SIZE, Site
 
 from ridgecourse.core.manifest import root_digest
-from ridgecourse_standins.caller import prompt_body
+from ridgecourse_standins.client import prompt_body
 from ridgecourse_standins.cluster import MODEL_SERVICE, Plan
 
 SLOW = {"link": {"upload_bytes_per_s": 400_000, "download_bytes_per_s": 400_000}}
@@ -18,12 +18,12 @@
     """Every engine answers from the whole of a version."""
     for number in range(4):
         answer = here.caller.send(MODEL_SERVICE, prompt_body(), number, repeatable=True)
-        assert (answer.outcome, answer.whole) == ("completed", True)
+        assert (answer.outcome, answer.correct) == ("completed", True)
         assert answer.version == root
 
 
 def wait_error(here: Site, text: str) -> None:
-    here.cluster.wait(
+    here.cluster.wait_until(
         f"the error {text}",
         lambda: any(text in error for error in here.rollout_errors()),
     )
@@ -35,7 +35,9 @@
 
 
 def wait_moving(here: Site, version: str) -> None:
-    here.cluster.wait("chunks move", lambda: origin_sent(here, version) > 4 * CHUNK)
+    here.cluster.wait_until(
+        "chunks move", lambda: origin_sent(here, version) > 4 * CHUNK
+    )
 
 
 def test_corrupt_chunks_are_rejected_and_fetched_again(
@@ -43,7 +45,7 @@
 ) -> None:
     here = site(PLAN)
     root = here.publish("v1", 1)
-    here.cluster.fault("origin", corrupt=6)
+    here.cluster.set_faults("origin", corrupt=6)
     here.place("v1")
     here.cluster.wait_serving(root)
     here.cluster.wait_ready()
@@ -77,10 +79,10 @@
     here.place("v1")
     wait_moving(here, "v1")
     frozen = here.cluster.agents[0]
-    frozen.managed.freeze()
+    frozen.managed.pause()
     for node in here.cluster.agents[1:]:
         node.managed.wait_event("version-serving", 180.0, version=root)
-    frozen.managed.wake()
+    frozen.managed.resume()
     here.cluster.wait_serving(root)
 
 
@@ -93,7 +95,7 @@
     here.place("v1")
     wait_moving(here, "v1")
     here.place("v2")
-    here.cluster.wait("v2 moves", lambda: origin_sent(here, "v2") > CHUNK)
+    here.cluster.wait_until("v2 moves", lambda: origin_sent(here, "v2") > CHUNK)
     sent = origin_sent(here, "v1")
     here.cluster.wait_serving(second)
     assert origin_sent(here, "v1") - sent <= 2 * CHUNK
@@ -120,7 +122,7 @@
     first = here.roll_out("v1", 1)
     here.roll_out("v2", 2)
     sent = origin_sent(here, "v1")
-    here.cluster.change("RollBack", service=MODEL_SERVICE)
+    here.cluster.make_change("RollBack", service=MODEL_SERVICE)
     here.cluster.wait_serving(first)
     assert origin_sent(here, "v1") == sent
     serves(here, first)
@@ -132,8 +134,8 @@
     here.publish("v2", 2)
     here.place("v2")
     wait_moving(here, "v2")
-    here.cluster.change("Abort", service=MODEL_SERVICE)
-    here.cluster.wait(
+    here.cluster.make_change("Abort", service=MODEL_SERVICE)
+    here.cluster.wait_until(
         "all are halted",
         lambda: all(
             here.cluster.status(node)["phase"] == "halted"
@@ -150,7 +152,7 @@
     wait_error(here, error)
     for number in range(4):
         answer = here.caller.send(MODEL_SERVICE, prompt_body(), number)
-        assert (answer.outcome, answer.whole) == ("completed", True)
+        assert (answer.outcome, answer.correct) == ("completed", True)
         assert answer.version != root
 
 
@@ -185,11 +187,11 @@
     here = site(PLAN)
     first = here.roll_out("v1", 1)
     root = here.publish("v2", 2)
-    here.cluster.fault("log", stream_down="leases")
+    here.cluster.set_faults("log", stream_down="leases")
     here.place("v2")
     wait_error(here, "no-lease")
     serves(here, first)
-    here.cluster.fault("log", stream_down="")
+    here.cluster.set_faults("log", stream_down="")
     here.cluster.wait_serving(root)
 
 
@@ -203,14 +205,16 @@
     here.place("v1")
     wait_moving(here, "v1")
     node = here.cluster.agents[0]
-    node.managed.freeze()
+    node.managed.pause()
     here.place("v2")
     other = here.cluster.replace_agent(node)
     other.managed.wait_event("version-serving", version=second)
-    waker = Thread(target=node.managed.wake)
+    waker = Thread(target=node.managed.resume)
     waker.start()
     waker.join()
-    here.cluster.wait("the first agent went on", lambda: here.cluster.answers(node))
+    here.cluster.wait_until(
+        "the first agent went on", lambda: here.cluster.is_answering(node)
+    )
     engine = here.cluster.addresses["engine-a-0"]
     orders = here.cluster.get_json(engine, "/executions")["orders"]
     activated = [root for kind, _, root in orders if kind == "activate"]
