--- a/tests/platform/test_border_reads.py
+++ b/tests/platform/test_border_reads.py
@@ -91,7 +91,7 @@
     border.start(make_large_config(1))
     border.settle()
     border.version = 100
-    border.store.told.clear()
+    border.store.delivered.clear()
     border.store.bytes_per_s = LINK_BYTES_PER_S
     storm = Thread(target=border.storm)
     storm.start()
--- a/tests/platform/test_crashing_requests.py
+++ b/tests/platform/test_crashing_requests.py
@@ -126,7 +126,7 @@
     run_beside(crashing, harmless)
     assert late_sends(engines) <= LATE_SENDS_ALLOWED
     # Two may be on their way when the third ends.
-    assert len(engines.ends) <= ENDS_ALLOWED + 2
+    assert len(engines.crash_times) <= ENDS_ALLOWED + 2
     assert harmless.served >= LEAST_SERVED
     assert 200 not in crashing.statuses
 
@@ -140,11 +140,11 @@
 
     def end_some(turn: int) -> int:
         if turn < 4:
-            engines.end(next(iter(engines.running)))
+            engines.crash(next(iter(engines.running)))
         return 200
 
     run_beside(harmless, Callers(end_some, 1.0))
-    assert len(engines.ends) == 4
+    assert len(engines.crash_times) == 4
     assert harmless.statuses == [200] * len(harmless.statuses)
 
 
@@ -232,13 +232,13 @@
     engines.start()
     front.start()
     front.wait_until(lambda: front.ask(PATH, CRASH_BODY)[0] == 503)
-    ends = len(engines.ends)
+    ends = len(engines.crash_times)
     assert front.store.wait_for_appends(1)
     front.gateway.kill()
     front.gateway.start()
     front.wait_until(lambda: front.ready() == 200)
     assert front.ask(PATH, CRASH_BODY)[0] == 503
-    assert len(engines.ends) == ends
+    assert len(engines.crash_times) == ends
 
 
 def break_off(request: ReceivedRequest) -> None:
--- a/tests/platform/test_datagrams.py
+++ b/tests/platform/test_datagrams.py
@@ -43,7 +43,7 @@
             datagram = next(receiver.messages(EngineReport))
     assert datagram.message == EngineReport(STATUS, 7)
     assert datagram.host == "127.0.0.1"
-    assert receiver.refused == 4
+    assert receiver.rejected == 4
 
 
 def test_a_receiver_that_is_gone_is_no_error(receiver) -> None:
--- a/tests/platform/test_domain_reads.py
+++ b/tests/platform/test_domain_reads.py
@@ -254,5 +254,5 @@
         front.store.put_config(config)
     front.gateway.resume()
     front.gateway.wait_event("config-folded", version=str(VERSIONS - 1))
-    told = sum(len(value) for _, _, value in front.store.told["127.0.0.1"])
+    told = sum(len(value) for _, _, value in front.store.delivered["127.0.0.1"])
     assert told < 5 * len(encode(config))
--- a/tests/platform/test_early_staging.py
+++ b/tests/platform/test_early_staging.py
@@ -61,7 +61,7 @@
     site.wait_serving(1)
     hold_back(site)
     site.store.put_version(MODEL, 2)
-    site.origin.wait_until(lambda: site.origin.sent == site.origin.hold_after)
+    site.origin.wait_until(lambda: site.origin.sent == site.origin.send_limit)
     told = [e for e in site.loader.events() if e.get("kind") == "transfer-progress"]
     site.loader.wait_event("transfer-progress", after=len(told) + 1)
     assert count_staged(site, 1) == CHUNKS
--- a/tests/platform/test_first_chunks.py
+++ b/tests/platform/test_first_chunks.py
@@ -99,7 +99,7 @@
 
 def make_context(link: NarrowLink) -> ExchangeContext:
     events = Mock()
-    events.figures = ProcessMetrics()
+    events.metrics = ProcessMetrics()
     return ExchangeContext(
         Member(TargetName("10.0.0.1"), DOMAIN),
         events,
--- a/tests/platform/test_hubs.py
+++ b/tests/platform/test_hubs.py
@@ -316,7 +316,7 @@
     hub_site.origin.versions[2] = make_chunks(2)
     hub_site.start()
     hub, successor = hub_site.ranked()
-    hub_site.origin.hold_after = 0
+    hub_site.origin.send_limit = 0
     hub_site.store.put_version(MODEL, 2)
     hub_site.loader.wait_event("rollout-phase", version="2")
     hub_site.origin.wait_until(lambda: chunk_calls(hub_site) > CHUNKS)
@@ -330,11 +330,11 @@
     hub_site.start()
     hub, _ = hub_site.ranked()
     origin = hub_site.origin
-    origin.hold_after = origin.sent + CHUNKS - 4
+    origin.send_limit = origin.sent + CHUNKS - 4
     hub_site.store.put_version(MODEL, 2)
     for host in hub_site.places:
         hub_site.ask(host)
-    origin.wait_until(lambda: origin.sent == origin.hold_after)
+    origin.wait_until(lambda: origin.sent == origin.send_limit)
     for host in hub_site.places:
         hub_site.wait_holding(host, 2, CHUNKS - 4)
     hub_site.store.put_version(MODEL, 3)
@@ -352,14 +352,14 @@
     hub_site.start()
     origin = hub_site.origin
     sent = origin.sent
-    origin.hold_after = sent + CHUNKS - 4
+    origin.send_limit = sent + CHUNKS - 4
     hub_site.store.put_version(MODEL, 2)
     origin.wait_until(lambda: origin.sent == sent + CHUNKS - 4)
-    origin.away = True
+    origin.unreachable = True
     # What was under way when it went away still comes.
     origin.release()
-    origin.wait_until(lambda: origin.turned_away > 2)
-    origin.away = False
+    origin.wait_until(lambda: origin.dropped_connections > 2)
+    origin.unreachable = False
     hub_site.wait_serving(2)
     assert origin.sent == sent + CHUNKS
 
@@ -367,19 +367,19 @@
 def test_a_gateway_that_stops_leaves_its_part_to_the_next(hub_site) -> None:
     hub_site.start()
     hub, successor = hub_site.ranked()
-    hub_site.places[hub].running.terminate()
+    hub_site.places[hub].started_process.terminate()
     hub_site.loader.wait_event("gateways-known", detail={"gateways": [successor]})
     hub_site.store.put_version(MODEL, 2)
     hub_site.wait_serving(2)
     hub_site.places[successor].wait_event("version-complete", version="2")
-    assert hub_site.places[hub].running.wait(10) == 0
+    assert hub_site.places[hub].started_process.wait(10) == 0
 
 
 def test_the_first_version_is_taken_from_the_engines_of_the_domain(hub_site) -> None:
     chunks = hub_site.origin.versions[1]
     hub_site.engine.staged = dict(enumerate(chunks))
     hub_site.engine.version = 1
-    hub_site.engine.started[1] = dict(enumerate(chunks))
+    hub_site.engine.staged_at_start[1] = dict(enumerate(chunks))
     hub_site.start()
     for gateway in hub_site.places.values():
         gateway.wait_event("version-complete", version="1")
--- a/tests/platform/test_kept_transfers.py
+++ b/tests/platform/test_kept_transfers.py
@@ -67,10 +67,10 @@
     narrow.store.put_version(MODEL, 2)
     for host in narrow.places:
         narrow.wait_holding(host, 2, CHUNKS)
-    narrow.origin.hold_after = narrow.origin.sent + CHUNKS // 4
+    narrow.origin.send_limit = narrow.origin.sent + CHUNKS // 4
     narrow.wait_holding("127.0.0.1", 2, APART_CHUNKS)
     narrow.store.put_version(MODEL, 3)
-    narrow.origin.wait_until(lambda: narrow.origin.sent == narrow.origin.hold_after)
+    narrow.origin.wait_until(lambda: narrow.origin.sent == narrow.origin.send_limit)
     narrow.wait_serving(2)
     assert monotonic() - begun < COPY_SECONDS + START_SECONDS
     narrow.origin.release()
--- a/tests/platform/test_late_hubs.py
+++ b/tests/platform/test_late_hubs.py
@@ -50,10 +50,10 @@
 def test_new_hubs_have_what_loaders_hold_while_the_origin_is_away(hub_site) -> None:
     hub_site.start()
     origin = hub_site.origin
-    origin.hold_after = origin.sent + CHUNKS - LEFT_CHUNKS
+    origin.send_limit = origin.sent + CHUNKS - LEFT_CHUNKS
     hub_site.store.put_version(MODEL, 2)
     hub_site.wait_holding("127.0.0.1", 2, CHUNKS - LEFT_CHUNKS)
-    origin.away = True
+    origin.unreachable = True
     origin.release()
     for gateway in hub_site.places.values():
         gateway.kill()
@@ -62,7 +62,7 @@
     hub_site.restart_gateways()
     hub, _ = hub_site.ranked()
     hub_site.wait_holding(hub, 2, CHUNKS - LEFT_CHUNKS)
-    origin.away = False
+    origin.unreachable = False
     hub_site.wait_serving(2)
 
 
@@ -73,13 +73,13 @@
         narrow.wait_holding(host, 2, CHUNKS)
     narrow.wait_holding("127.0.0.1", 2, HELD_CHUNKS)
     origin = narrow.origin
-    origin.away = True
+    origin.unreachable = True
     for gateway in narrow.places.values():
         gateway.kill()
     sleep(AGED_SECONDS)
     lacking = narrow.lacking("127.0.0.1", 2)
     narrow.restart_gateways()
-    origin.away = False
+    origin.unreachable = False
     begun = monotonic()
     hub, _ = narrow.ranked()
     # The others come over the loader's link, as fast as that is.
--- a/tests/platform/test_left_draws.py
+++ b/tests/platform/test_left_draws.py
@@ -75,4 +75,4 @@
     slow_origin.origin.release()
     slow_origin.wait_serving(3)
     assert slow_origin.drawn(2) <= DRAWN + UNDER_WAY
-    assert 2 not in slow_origin.engine.started
+    assert 2 not in slow_origin.engine.staged_at_start
--- a/tests/platform/test_left_versions.py
+++ b/tests/platform/test_left_versions.py
@@ -52,12 +52,14 @@
     for host in ("127.0.0.1", hub, successor):
         hub_site.wait_holding(host, 2, CHUNKS - LEFT_CHUNKS)
     third = hub_site.origin.versions.pop(3)
-    sleep(max(0.0, hub_site.store.named_at[MODEL, 2] + APART_SECONDS - monotonic()))
+    sleep(
+        max(0.0, hub_site.store.version_put_at[MODEL, 2] + APART_SECONDS - monotonic())
+    )
     hub_site.store.put_version(MODEL, 3)
     hub_site.loader.wait_event("version-named", version="3")
     hub_site.places[hub].kill()
     hub_site.loader.wait_event("gateways-known", detail={"gateways": [successor]})
-    hub_site.origin.away = False
+    hub_site.origin.unreachable = False
     hub_site.wait_serving(2)
     hub_site.origin.versions[3] = third
     hub_site.wait_serving(3)
@@ -105,7 +107,7 @@
     hub_site.loader.wait_event("rollout-phase", version="3", detail=phase)
     with hub_site.engine.changed:
         hub_site.engine.version = 0
-        hub_site.engine.started.clear()
+        hub_site.engine.staged_at_start.clear()
     hub_site.wait_serving(2)
     hub_site.origin.versions[3] = third
     hub_site.wait_serving(3)
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -375,7 +375,7 @@
     for caller in callers:
         front.send(caller, "/safe/x")
     front.wait_until(lambda: len(held) == len(callers))
-    gateway = front.gateway.running
+    gateway = front.gateway.started_process
     gateway.send_signal(signal.SIGSTOP)
     for request in list(held):
         reset_connection(request)
--- a/tests/platform/test_settings_change.py
+++ b/tests/platform/test_settings_change.py
@@ -26,7 +26,7 @@
     front.add_engine("app")
     front.start()
     change(front, listen={**front.settings["listen"], "frontend": "127.0.0.1:9"})
-    front.gateway.running.send_signal(signal.SIGHUP)
+    front.gateway.started_process.send_signal(signal.SIGHUP)
     event = front.gateway.wait_event("settings-changed")
     assert event["detail"]["pending"] == ["callers"]
     assert front.ask("/safe/x")[0] == 200
@@ -37,7 +37,7 @@
     front.start()
     bounds = {**front.settings["bounds"], "version_ms": "soon"}
     change(front, bounds=bounds)
-    front.gateway.running.send_signal(signal.SIGHUP)
+    front.gateway.started_process.send_signal(signal.SIGHUP)
     event = front.gateway.wait_event("bad-input")
     assert "version_ms" in event["detail"]["error"]
     assert front.ask("/safe/x")[0] == 200
--- a/tests/platform/test_slow_reads.py
+++ b/tests/platform/test_slow_reads.py
@@ -74,7 +74,7 @@
     version = domain.settle() + 1
     reader = domain.told(version - 1).pop()
     large = make_large_config(version)
-    domain.store.narrow[reader] = len(encode(large)) / OWN_LINK_SECONDS
+    domain.store.reader_rates[reader] = len(encode(large)) / OWN_LINK_SECONDS
     begun = monotonic()
     domain.store.put_config(large)
     domain.wait_folded(version, set(domain.processes) - {reader})
@@ -87,7 +87,7 @@
     domain.start()
     version = domain.settle() + 1
     away = rendezvous_rank(TREE_KEY, GATEWAYS)[:count]
-    domain.store.turned_away.update(away)
+    domain.store.refused_readers.update(away)
     for host in away:
         domain.processes[host].wait_event("log-lost")
     begun = monotonic()
@@ -100,7 +100,7 @@
     """Found by review: the reader counted as late 65 times in 6 s of quiet."""
     domain.start()
     version = domain.settle() + 1
-    domain.store.answer_seconds = SLOW_ANSWER_SECONDS
+    domain.store.answer_delay_seconds = SLOW_ANSWER_SECONDS
     # The reads under way are answered as before.
     domain.store.put_config(make_config(version))
     domain.wait_folded(version)
--- a/tests/platform/test_stop.py
+++ b/tests/platform/test_stop.py
@@ -44,7 +44,7 @@
     idle = front.open()
     front.send(idle, "/safe/x")
     assert receive_answer(idle)[0] == 200
-    front.gateway.running.send_signal(signal.SIGTERM)
+    front.gateway.started_process.send_signal(signal.SIGTERM)
     front.wait_until(lambda: front.ready() == 503)
     # The balancer has not noticed yet: new requests are served, and as usual.
     status, headers, _, _ = front.ask("/safe/x")
@@ -52,24 +52,24 @@
     assert headers.get("connection") != "close"
     front.wait_until(lambda: is_refused(front))
     assert idle.recv(1) == b""
-    assert front.gateway.running.poll() is None
+    assert front.gateway.started_process.poll() is None
     proceed.set()
     _, _, body, whole = receive_answer(streaming)
     assert whole
     assert body == b"".join(format_event(number) for number in range(1, 4))
-    assert front.gateway.running.wait(10) == 0
+    assert front.gateway.started_process.wait(10) == 0
 
 
 def test_a_stop_without_requests_ends_soon_after_the_balancer_looked(front) -> None:
     front.add_engine("app")
     front.start()
-    front.gateway.running.send_signal(signal.SIGTERM)
-    assert front.gateway.running.wait(6) == 0
+    front.gateway.started_process.send_signal(signal.SIGTERM)
+    assert front.gateway.started_process.wait(6) == 0
 
 
 def test_signals_that_say_settings_changed_end_nothing(front) -> None:
     front.add_engine("app")
     front.start()
-    front.gateway.running.send_signal(signal.SIGHUP)
+    front.gateway.started_process.send_signal(signal.SIGHUP)
     assert front.ask("/safe/x")[0] == 200
-    assert front.gateway.running.poll() is None
+    assert front.gateway.started_process.poll() is None
--- a/tests/platform/test_target_reads.py
+++ b/tests/platform/test_target_reads.py
@@ -95,9 +95,11 @@
 
 def test_one_process_reads_the_list_for_its_domain(domain) -> None:
     domain.start()
-    asked = len(domain.store.asked)
+    asked = len(domain.store.offset_reads)
     sleep(WATCHED_SECONDS)
-    reads = [call for call in domain.store.asked[asked:] if call[1] == TARGETS_TOPIC]
+    reads = [
+        call for call in domain.store.offset_reads[asked:] if call[1] == TARGETS_TOPIC
+    ]
     assert len({host for host, _ in reads if host in GATEWAYS}) == 1
     assert len(reads) <= MOST_CALLS
 
--- a/tests/platform/test_weight_figures.py
+++ b/tests/platform/test_weight_figures.py
@@ -41,7 +41,7 @@
 
 def make_context(http: Mock) -> tuple[ExchangeContext, ProcessMetrics]:
     events = Mock()
-    events.figures = ProcessMetrics()
+    events.metrics = ProcessMetrics()
     context = ExchangeContext(
         Member(TargetName("10.0.0.1"), DomainName("hall-a")),
         events,
@@ -52,7 +52,7 @@
         PlanPolicy(),
         region=lambda domain: RegionName(REGIONS[domain]),
     )
-    return context, events.figures
+    return context, events.metrics
 
 
 @pytest.mark.parametrize(
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -73,8 +73,8 @@
 
 DEFER = """
 import sys
-from ridgecourse.net.deferred import deferred
-with deferred({"html": (), "urllib.request": ("getproxies",)}):
+from ridgecourse.net.deferred import defer_imports
+with defer_imports({"html": (), "urllib.request": ("getproxies",)}):
     import html, urllib.request
     from urllib.request import getproxies
 """
