--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -1,3 +1,5 @@
+"""A gateway process between stand-ins of the store and the engines, for tests."""
+
 import socket
 from collections.abc import Iterator
 from pathlib import Path
@@ -44,32 +46,47 @@
 
 
 def receive_answer(connection: socket.socket) -> Answer:
-    """Return status, headers, body, and whether the answer came to its end."""
+    """Read an HTTP response.
+
+    Returns:
+        Status (0 if there was no response), headers by lower-case name, body, and
+        whether the response was complete.
+    """
     file = connection.makefile("rb")
-    line = file.readline().decode()
-    if not line:
+    status_line = file.readline().decode()
+    if not status_line:
         return 0, {}, b"", False
     headers = {}
-    while (text := file.readline().decode().strip()) != "":
-        name, _, value = text.partition(":")
+    while (header_line := file.readline().decode().strip()) != "":
+        name, _, value = header_line.partition(":")
         headers[name.lower()] = value.strip()
-    status = int(line.split()[1])
+    status = int(status_line.split()[1])
     if "content-length" in headers:
         length = int(headers["content-length"])
         body = file.read(length)
         return status, headers, body, len(body) == length
     body = b""
     while size := file.readline().strip():
-        piece = file.read(int(size, 16))
+        chunk = file.read(int(size, 16))
         file.readline()
-        body += piece
-        if not piece:
+        body += chunk
+        if not chunk:
             return status, headers, body, True
     return status, headers, body, False
 
 
 class GatewaySite:
-    """A gateway process with a store and targets around it."""
+    """A gateway process with stand-ins of the store and of targets.
+
+    Attributes:
+        store: Stand-in of the store.
+        settings: Settings of the gateway.
+        path: File of the settings.
+        gateway: The gateway process.
+        engines: Stand-ins of the engines, in the order in which they were added.
+        connections: Client connections that are closed after the test.
+        attempts: Number of requests made so far; numbers the attempt ids.
+    """
 
     def __init__(self, directory: Path) -> None:
         self.store = StoreStandIn()
@@ -85,6 +102,7 @@
 
     @property
     def frontend(self) -> tuple[str, int]:
+        """Host and port on which the gateway accepts requests."""
         host, _, port = self.settings["listen"]["frontend"].rpartition(":")
         return host, int(port)
 
@@ -97,6 +115,7 @@
         version: int = 1,
         host: str = "127.0.0.1",
     ) -> EngineStandIn:
+        """Start an engine stand-in and put its target into the store."""
         engine = EngineStandIn(behaviour, host)
         engine.start()
         self.engines.append(engine)
@@ -112,6 +131,7 @@
         zone: str = "a",
         version: int = 1,
     ) -> str:
+        """Put a target of an engine into the store and return the target's name."""
         target = target or f"i-{self.engines.index(engine)}"
         entry: dict[str, Any] = {
             "service": service,
@@ -128,23 +148,26 @@
         if service == "llm":
             entry["models"] = [{"name": MODEL, "version": version, "adapters": []}]
             if version:
-                held = {"from": 0, "target_version": LAYERS, "version": version}
-                entry["layers"] = held
+                layers = {"from": 0, "target_version": LAYERS, "version": version}
+                entry["layers"] = layers
         self.store.put_target(target, entry)
         return target
 
     def start(self, config: dict[str, Any] | None = None) -> None:
+        """Put a configuration, start the gateway and wait until it is ready."""
         self.store.put_config(config or make_config())
         self.gateway.start()
         self.wait_until(lambda: self.ready() == 200)
 
     def wait_until(self, condition: Any, seconds: float = 20.0) -> None:
-        limit = monotonic() + seconds
+        """Wait until a condition holds; fail after a number of seconds."""
+        deadline = monotonic() + seconds
         while not condition():
-            assert monotonic() < limit, "the condition did not come about"
+            assert monotonic() < deadline, "the condition was not met in time"
             sleep(0.02)
 
     def ready(self) -> int:
+        """Return the status of the readiness endpoint, or 0 if it does not answer."""
         host, _, port = self.settings["listen"]["readiness"].rpartition(":")
         try:
             with socket.create_connection((host, int(port)), 1.0) as connection:
@@ -157,6 +180,7 @@
             return 0
 
     def open(self) -> socket.socket:
+        """Open a client connection to the gateway."""
         connection = socket.create_connection(self.frontend, 10.0)
         self.connections.append(connection)
         return connection
@@ -169,6 +193,15 @@
         deadline_ms: int | None = 4000,
         extra: tuple[str, ...] = (),
     ) -> str:
+        """Return the head of a request with a new attempt id.
+
+        Args:
+            target: Path and query.
+            method: HTTP method.
+            key: API key of the client account; None for no key.
+            deadline_ms: Deadline in milliseconds; None for no deadline.
+            extra: Additional header lines.
+        """
         self.attempts += 1
         lines = [
             f"{method} {target} HTTP/1.1",
@@ -182,19 +215,22 @@
         return "\r\n".join([*lines, *extra, "", ""])
 
     def send(
-        self, connection: socket.socket, target: str, body: bytes = b"", **more: Any
+        self, connection: socket.socket, target: str, body: bytes = b"", **options: Any
     ) -> None:
+        """Send a request without waiting for the response."""
         if body:
             length = f"Content-Length: {len(body)}"
-            more["extra"] = (*more.get("extra", ()), length)
-        connection.sendall(self.head(target, **more).encode() + body)
+            options["extra"] = (*options.get("extra", ()), length)
+        connection.sendall(self.head(target, **options).encode() + body)
 
-    def ask(self, target: str, body: bytes = b"", **more: Any) -> Answer:
+    def ask(self, target: str, body: bytes = b"", **options: Any) -> Answer:
+        """Send a request on a new connection and return the response."""
         connection = self.open()
-        self.send(connection, target, body, **more)
+        self.send(connection, target, body, **options)
         return receive_answer(connection)
 
     def close(self) -> None:
+        """Close all connections and end all processes and stand-ins."""
         for connection in self.connections:
             connection.close()
         if self.gateway.process is not None:
@@ -206,7 +242,7 @@
 
 @pytest.fixture
 def front(tmp_path: Path) -> Iterator[GatewaySite]:
-    """A gateway with its surroundings; a test starts it."""
+    """Return a gateway site; the test starts the gateway."""
     site = GatewaySite(tmp_path)
     yield site
     site.close()
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,21 +1,27 @@
-"""Tests that may fail: those that KNOWN-RED.txt lists, with cause and issue.
+"""Reads the tests that may fail, with cause and issue, from KNOWN-RED.txt.
 
-A listed test is run all the same. If it passes, the run fails, so that what has been
-mended is taken off the list; but for a test whose cause says that it fails only now and
-then.
+Listed tests still run. If a listed test passes, the run fails, so that a test whose
+fault has been fixed is removed from the list. A test whose cause marks it as flaky may
+also pass.
 """
 
 from pathlib import Path
 from typing import NamedTuple
 
-LIST = Path(__file__).parents[1] / "KNOWN-RED.txt"
-MOST = 3
-NOW_AND_THEN = "now and then: "
-"""Begins the cause of a test that also passes."""
+LIST_PATH = Path(__file__).parents[1] / "KNOWN-RED.txt"
+MAX_ENTRIES = 3
+FLAKY_PREFIX = "now and then: "
+"""Prefix of the cause of a flaky test, which sometimes passes."""
 
 
-class KnownRed(NamedTuple):
-    """One line of the list: ``test, cause, issue``."""
+class KnownFailure(NamedTuple):
+    """A line of the list: ``test, cause, issue``.
+
+    Attributes:
+        test: Node id of the test.
+        cause: Cause of the failure.
+        issue: Issue that tracks the failure.
+    """
 
     test: str
     cause: str
@@ -23,28 +29,35 @@
 
     @property
     def always_fails(self) -> bool:
-        """Whether a pass shows that it has been mended."""
-        return not self.cause.startswith(NOW_AND_THEN)
+        """Whether a pass of the test shows that its fault has been fixed."""
+        return not self.cause.startswith(FLAKY_PREFIX)
 
 
-def read_known_red(path: Path = LIST) -> list[KnownRed]:
-    """Return the listed tests.
+def read_known_failures(path: Path = LIST_PATH) -> list[KnownFailure]:
+    """Return the listed tests; none if the file does not exist.
 
     Raises:
-        ValueError: A line is not of the form, or there are too many.
+        ValueError: A line has a wrong format, or the list has too many entries.
     """
     if not path.exists():
         return []
     lines = [line.strip() for line in path.read_text().splitlines()]
     entries = [parse_line(line) for line in lines if line and line[0] != "#"]
-    if len(entries) > MOST:
-        raise ValueError(f"{path.name} lists {len(entries)} tests, at most {MOST}")
+    if len(entries) > MAX_ENTRIES:
+        raise ValueError(
+            f"{path.name} lists {len(entries)} tests, at most {MAX_ENTRIES}"
+        )
     return entries
 
 
-def parse_line(line: str) -> KnownRed:
+def parse_line(line: str) -> KnownFailure:
+    """Parse a line of the list.
+
+    Raises:
+        ValueError: A part of the line is missing.
+    """
     test, _, rest = line.partition(", ")
     cause, _, issue = rest.rpartition(", ")
     if not (test and cause and issue):
-        raise ValueError(f"not of the form 'test, cause, issue': {line}")
-    return KnownRed(test, cause, issue)
+        raise ValueError(f"expected 'test, cause, issue', found: {line}")
+    return KnownFailure(test, cause, issue)
--- a/tests/test_boundaries.py
+++ b/tests/test_boundaries.py
@@ -1,4 +1,7 @@
-"""Names of the users' platform stand in its adapter alone."""
+"""Checks boundaries in the source: the platform's names, imports and clocks.
+
+Only the adapter may use names of the users' platform.
+"""
 
 from pathlib import Path
 from re import escape, search
@@ -7,12 +10,12 @@
 
 SOURCES = Path(__file__).parents[1] / "src" / "ridgecourse"
 
-GENERAL = {"Key", "Model", "config"}
-"""Names that are words of other protocols too."""
+SHARED_WORDS = {"Key", "Model", "config"}
+"""Names of the platform that also occur in other protocols."""
 
 
 def wire_names() -> set[str]:
-    """Return the names that the adapter lists, and some of its bodies' fields."""
+    """Return the names that the adapter lists, and some fields of its messages."""
     listed = {
         value
         for name, value in vars(names).items()
@@ -34,28 +37,28 @@
         "internal_port_range",
         "seed_nodes",
     }
-    return (listed | fields) - GENERAL
+    return (listed | fields) - SHARED_WORDS
 
 
-def test_no_wire_name_stands_outside_the_adapter() -> None:
-    found = []
+def test_wire_names_occur_only_in_adapter() -> None:
+    violations = []
     for path in sorted(SOURCES.rglob("*.py")):
         if path.is_relative_to(SOURCES / "platform"):
             continue
         text = path.read_text()
         for name in wire_names():
-            standing_alone = rf"(?<![\w-]){escape(name)}(?![\w-])"
-            if search(standing_alone, text) and not is_own_word(name):
-                found.append(f"{path.relative_to(SOURCES)}: {name}")
-    assert found == []
+            whole_word = rf"(?<![\w-]){escape(name)}(?![\w-])"
+            if search(whole_word, text) and not is_project_word(name):
+                violations.append(f"{path.relative_to(SOURCES)}: {name}")
+    assert violations == []
 
 
-def is_own_word(name: str) -> bool:
-    """Tell whether a name is a word of the project as well."""
+def is_project_word(name: str) -> bool:
+    """Return whether a name is also a word of the project."""
     return name in {"version/", "Tenant", "Retry-After"}
 
 
-def test_the_adapter_is_imported_by_none_but_itself() -> None:
+def test_adapter_is_not_imported_by_other_packages() -> None:
     importers = [
         path.relative_to(SOURCES)
         for path in SOURCES.rglob("*.py")
@@ -65,10 +68,10 @@
     assert importers == []
 
 
-def test_no_age_is_reckoned_by_a_clock_that_stands_still_in_a_suspension() -> None:
-    found = [
+def test_no_clock_is_used_that_stops_during_suspension() -> None:
+    violations = [
         str(path.relative_to(SOURCES))
         for path in sorted(SOURCES.rglob("*.py"))
         if search(r"\bmonotonic\(|\bperf_counter\(", path.read_text())
     ]
-    assert found == []
+    assert violations == []
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,7 @@
-"""The configuration's fold: a state machine against a simple oracle."""
+"""Tests of the configuration state that readers fold from the log.
+
+A state machine compares readers of one log with each other and with a simple model.
+"""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -47,39 +50,53 @@
     return RootDigest(version * 32)
 
 
-def join(target: TargetName) -> JoinTarget:
-    where = "127.0.0.1:1"
-    return JoinTarget(FLEET, SERVICE, target, DomainName("d"), where, where)
+def join_target(target: TargetName) -> JoinTarget:
+    address = "127.0.0.1:1"
+    return JoinTarget(FLEET, SERVICE, target, DomainName("d"), address, address)
 
 
 changes = st.one_of(
     st.just(CreateFleet(FLEET)),
     st.just(PutService(FLEET, SERVICE, ServiceKind.MODEL)),
     st.sampled_from(VERSIONS).map(
-        lambda v: PublishVersion(FLEET, ModelName("m"), v, digest_of(v), v, 1)
+        lambda version: PublishVersion(
+            FLEET, ModelName("m"), version, digest_of(version), version, 1
+        )
+    ),
+    st.sampled_from(VERSIONS).map(
+        lambda version: Place(FLEET, SERVICE, ModelName("m"), version)
     ),
-    st.sampled_from(VERSIONS).map(lambda v: Place(FLEET, SERVICE, ModelName("m"), v)),
     st.just(RollBack(FLEET, SERVICE)),
     st.just(Abort(FLEET, SERVICE)),
-    st.sampled_from(TARGETS).map(join),
-    st.sampled_from(TARGETS).map(lambda t: LeaveTarget(FLEET, t)),
-    st.integers(-1, 3).map(lambda w: SetTraffic(FLEET, SERVICE, {DomainName("d"): w})),
+    st.sampled_from(TARGETS).map(join_target),
+    st.sampled_from(TARGETS).map(lambda target: LeaveTarget(FLEET, target)),
+    st.integers(-1, 3).map(
+        lambda weight: SetTraffic(FLEET, SERVICE, {DomainName("d"): weight})
+    ),
     st.integers(0, 12).map(
-        lambda p: PutAccount(FLEET, AccountName("a"), "k", priority=p)
+        lambda priority: PutAccount(FLEET, AccountName("a"), "k", priority=priority)
     ),
 )
 
 
 class ConfigMachine(RuleBasedStateMachine):
-    """One log, several readers that fold it in their own ways."""
+    """Folds one log in a first reader, record by record, and in a late one, in parts.
+
+    Attributes:
+        log: The encoded records.
+        first: The reader that folds every record as soon as it is appended.
+        late: The reader that gets parts of the log, snapshots and updates.
+        decided: Status and offset of the first outcome of each change.
+        leaving: Whether each target that joined is leaving, by target.
+    """
 
     @initialize()
-    def begin(self) -> None:
+    def set_up(self) -> None:
         self.log: list[bytes] = []
         self.first = ConfigStore()
         self.late = ConfigStore()
         self.accepted: dict[ChangeId, int] = {}
-        self.told: dict[ChangeId, tuple[ChangeStatus, int]] = {}
+        self.decided: dict[ChangeId, tuple[ChangeStatus, int]] = {}
         self.next_id = 0
         self.leaving: dict[TargetName, bool] = {}
 
@@ -87,31 +104,34 @@
         self.log.append(encode_message(record))
         for _, outcome in self.first.fold(len(self.log) - 1, self.log[-1:]):
             assert isinstance(record, ChangeRecord)
-            told = (outcome.status, outcome.offset)
-            assert self.told.setdefault(record.change_id, told) == told
-            if outcome.status is ChangeStatus.ACCEPTED and told[1] == len(self.log) - 1:
-                self.note_accepted(record.change)
-
-    def note_accepted(self, change: AnyChange) -> None:
+            decided = (outcome.status, outcome.offset)
+            assert self.decided.setdefault(record.change_id, decided) == decided
+            if (
+                outcome.status is ChangeStatus.ACCEPTED
+                and decided[1] == len(self.log) - 1
+            ):
+                self.record_accepted(record.change)
+
+    def record_accepted(self, change: AnyChange) -> None:
         if isinstance(change, JoinTarget):
             self.leaving[change.target] = False
         if isinstance(change, LeaveTarget):
             self.leaving[change.target] = True
 
-    @rule(change=changes, guess=st.none() | st.integers(0, 30))
-    def make_change(self, change: AnyChange, guess: int | None) -> None:
+    @rule(change=changes, expected_revision=st.none() | st.integers(0, 30))
+    def make_change(self, change: AnyChange, expected_revision: int | None) -> None:
         change_id = ChangeId(str(self.next_id))
         self.next_id += 1
-        self.append(ChangeRecord(change_id, "o", change, guess))
+        self.append(ChangeRecord(change_id, "o", change, expected_revision))
 
-    @rule(change=changes, back=st.integers(1, 5))
-    def repeat_an_id(self, change: AnyChange, back: int) -> None:
-        """A lost reply: the same id again, whatever it now says."""
+    @rule(change=changes, back_count=st.integers(1, 5))
+    def repeat_change_id(self, change: AnyChange, back_count: int) -> None:
+        """Send a known change id again, with any change, as after a lost reply."""
         before = self.first.state.snapshot()
-        known = ChangeId(str(max(0, self.next_id - back)))
-        if known not in self.told:
+        change_id = ChangeId(str(max(0, self.next_id - back_count)))
+        if change_id not in self.decided:
             return
-        self.append(ChangeRecord(known, "o", change))
+        self.append(ChangeRecord(change_id, "o", change))
         after = self.first.state.snapshot()
         assert after.targets == before.targets
         assert after.services == before.services
@@ -122,32 +142,32 @@
         self.first.fold(len(self.log) - 1, self.log[-1:])
 
     @rule()
-    def notice(self) -> None:
+    def make_checkpoint_notice(self) -> None:
         self.append(CheckpointNotice(len(self.log), 0))
 
     @rule(start=st.integers(0, 40), length=st.integers(0, 40))
     def late_reader_gets_any_part(self, start: int, length: int) -> None:
-        """Parts come in any order, twice, or with a gap before them."""
+        """Fold a part of the log: in any order, repeatedly, or after a gap."""
         before = self.late.offset
         self.late.fold(start, self.log[start : start + length])
         assert self.late.offset >= before
 
     @rule(size=st.integers(0, 40))
     def late_reader_gets_a_snapshot(self, size: int) -> None:
-        """Of an older or a newer offset; it never goes back."""
-        source = ConfigStore()
-        source.fold(0, self.log[:size])
+        """Restore a snapshot of any offset; an older one must not reset the state."""
+        snapshot_source = ConfigStore()
+        snapshot_source.fold(0, self.log[:size])
         before = self.late.offset
-        self.late.restore(source.state.snapshot())
-        assert self.late.offset == max(before, source.offset)
+        self.late.restore(snapshot_source.state.snapshot())
+        assert self.late.offset == max(before, snapshot_source.offset)
 
     @rule()
-    def late_reader_asks_the_first(self) -> None:
+    def late_reader_asks_first_reader(self) -> None:
         self.late.apply(self.first.updates_since(self.late.offset))
         assert self.late.offset == self.first.offset
 
     @invariant()
-    def same_offset_same_state(self) -> None:
+    def same_offset_has_same_state(self) -> None:
         if not hasattr(self, "late"):
             return
         replay = ConfigStore()
@@ -155,11 +175,14 @@
         assert replay.state.digest() == self.late.state.digest()
 
     @invariant()
-    def accepted_decisions_stand(self) -> None:
+    def accepted_changes_are_kept(self) -> None:
         if not hasattr(self, "first"):
             return
-        found = {t.target: t.leaving for t in self.first.state.targets.values()}
-        assert found == self.leaving
+        targets = {
+            target.target: target.leaving
+            for target in self.first.state.targets.values()
+        }
+        assert targets == self.leaving
 
 
 TestConfig = ConfigMachine.TestCase
@@ -168,7 +191,9 @@
 )
 
 
-def fold(state: ConfigState, change: AnyChange, expected: int | None = None) -> str:
+def apply_change(
+    state: ConfigState, change: AnyChange, expected: int | None = None
+) -> str:
     offset = state.offset
     change_id = ChangeId(f"c{offset}")
     outcome = state.apply(offset, ChangeRecord(change_id, "o", change, expected))
@@ -176,33 +201,35 @@
     return outcome.reason if outcome.status is ChangeStatus.REJECTED else ""
 
 
-def test_of_two_racing_changes_the_first_in_the_log_wins() -> None:
+def test_first_of_two_conflicting_changes_is_accepted() -> None:
     state = ConfigState()
-    fold(state, CreateFleet(FLEET))
-    fold(state, PutService(FLEET, SERVICE, ServiceKind.MODEL))
+    apply_change(state, CreateFleet(FLEET))
+    apply_change(state, PutService(FLEET, SERVICE, ServiceKind.MODEL))
     revision = state.services[FLEET, SERVICE].revision
     weights = {DomainName("d"): 1}
-    assert fold(state, SetTraffic(FLEET, SERVICE, weights), revision) == ""
-    lost = fold(state, SetTraffic(FLEET, SERVICE, {DomainName("e"): 1}), revision)
-    assert "conflict" in lost
+    assert apply_change(state, SetTraffic(FLEET, SERVICE, weights), revision) == ""
+    reason = apply_change(
+        state, SetTraffic(FLEET, SERVICE, {DomainName("e"): 1}), revision
+    )
+    assert "conflict" in reason
     assert state.services[FLEET, SERVICE].traffic == weights
 
 
-def test_a_version_never_changes_its_content() -> None:
+def test_content_of_version_cannot_change() -> None:
     state = ConfigState()
-    fold(state, CreateFleet(FLEET))
+    apply_change(state, CreateFleet(FLEET))
     model = ModelName("m")
     first = PublishVersion(FLEET, model, VERSIONS[0], RootDigest("a" * 64), "p", 1)
-    other = PublishVersion(FLEET, model, VERSIONS[0], RootDigest("b" * 64), "p", 1)
-    assert fold(state, first) == ""
-    assert "other content" in fold(state, other)
+    changed = PublishVersion(FLEET, model, VERSIONS[0], RootDigest("b" * 64), "p", 1)
+    assert apply_change(state, first) == ""
+    assert "other content" in apply_change(state, changed)
 
 
-def test_folding_out_of_order_is_an_error() -> None:
+def test_applying_record_out_of_order_is_an_error() -> None:
     state = ConfigState()
     try:
         state.apply(Offset(3), None)
     except ValueError as error:
         assert "offset 3" in str(error)
     else:
-        raise AssertionError("folded a record past a gap")
+        raise AssertionError("folded a record after a gap")
--- a/tests/test_existing_locks.py
+++ b/tests/test_existing_locks.py
@@ -1,12 +1,13 @@
-"""Locks that exist before modules are patched keep green threads out of each other.
+"""Checks that locks created before the monkey patches exclude green threads.
 
-A start spent a third of its processor time on finding them.
+The patch must convert these locks without Eventlet's search through all modules, which
+took 1/3 of the processor time of a start.
 """
 
 import subprocess
 import sys
 
-COUNT_HOLDERS = """
+CHECK_LOCKS = """
 import gc, logging, threading, _thread
 import eventlet.patcher
 
@@ -46,7 +47,7 @@
 """
 
 
-def test_locks_made_before_the_patch_exclude_green_threads() -> None:
-    command = [sys.executable, "-W", "ignore", "-c", COUNT_HOLDERS]
-    done = subprocess.run(command, capture_output=True, text=True)
-    assert done.returncode == 0, done.stderr
+def test_locks_created_before_patching_exclude_green_threads() -> None:
+    command = [sys.executable, "-W", "ignore", "-c", CHECK_LOCKS]
+    result = subprocess.run(command, capture_output=True, text=True)
+    assert result.returncode == 0, result.stderr
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -1,4 +1,7 @@
-"""Whatever comes in gets a typed error or a closed connection; processes live."""
+"""Tests that invalid input gets a typed error or a closed connection.
+
+No input may end a process.
+"""
 
 import socket
 from collections.abc import Callable
@@ -6,7 +9,7 @@
 
 import cbor2
 import pytest
-from conftest import Site
+from conftest import ClusterSite
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from returns.result import Failure
@@ -77,7 +80,7 @@
             assert type(decoded.unwrap()).__module__.startswith("ridgecourse")
 
 
-def test_settings_faults_are_reported_together_with_their_lines() -> None:
+def test_settings_problems_are_reported_together_with_their_lines() -> None:
     text = """{
       // An entry.
       "process": "e",
@@ -88,8 +91,8 @@
       "operators": [{"name": "o", "token_digest": "x", "role": "king"}],
       "colour": 1,
     }"""
-    findings = parse_settings(text, "f.json", EntrySettings).failure()
-    places = {finding.place for finding in findings}
+    problems = parse_settings(text, "f.json", EntrySettings).failure()
+    places = {problem.place for problem in problems}
     assert places == {
         "f.json:5: http",
         "f.json:7: shared_key",
@@ -99,30 +102,30 @@
     }
 
 
-def test_settings_that_are_no_json_are_a_finding() -> None:
+def test_settings_that_are_not_json_are_a_problem() -> None:
     assert isinstance(parse_settings("{", "f", AgentSettings), Failure)
     assert isinstance(load_settings(Path("/nowhere"), AgentSettings), Failure)
 
 
 @pytest.mark.parametrize("path", EXAMPLES, ids=lambda path: path.name)
-def test_examples_pass_the_check(path: Path) -> None:
+def test_example_settings_are_valid(path: Path) -> None:
     kind: type[Settings] = EntrySettings if "entry" in path.name else AgentSettings
     loaded = load_settings(path, kind)
     assert not isinstance(loaded, Failure), loaded.failure()
 
 
-def exchange(address: str, data: bytes) -> bytes:
-    """Send bytes and return what comes back until the connection ends."""
+def send_and_receive(address: str, data: bytes) -> bytes:
+    """Send bytes and return all bytes received until the connection is closed."""
     with socket.create_connection(parse_address(address), timeout=20.0) as connection:
         connection.sendall(data)
         connection.shutdown(socket.SHUT_WR)
         answer = b""
-        while piece := connection.recv(65536):
-            answer += piece
+        while chunk := connection.recv(65536):
+            answer += chunk
         return answer
 
 
-GARBAGE = [
+INVALID_REQUESTS = [
     b"\x00\xff" * 200,
     b"POST /work HTTP/1.1\r\nContent-Length: 99999999999\r\n\r\n",
     b"POST /work HTTP/1.1\r\nHost: x\r\nContent-Length: nine\r\n\r\nabc",
@@ -134,54 +137,59 @@
 ]
 
 
-def test_garbage_on_every_socket_leaves_the_processes_alive(
-    site: Callable[[Plan], Site],
+def test_processes_survive_invalid_bytes_on_every_socket(
+    start_site: Callable[[Plan], ClusterSite],
 ) -> None:
-    here = site(Plan(domains=("a",), entries=1, targets=1, plain=0))
-    agent, entry = here.cluster.agents[0], here.cluster.entries[0]
-    lives = here.cluster.status(agent)["incarnation"]
+    site = start_site(Plan(domains=("a",), entries=1, targets=1, plain=0))
+    agent, entry = site.cluster.agents[0], site.cluster.entries[0]
+    incarnation = site.cluster.status(agent)["incarnation"]
     for address in (agent.http, agent.settings["control"], entry.http):
-        for data in GARBAGE:
-            answer = exchange(address, data)
+        for data in INVALID_REQUESTS:
+            answer = send_and_receive(address, data)
             assert b" 200 " not in answer[:20]
-    assert here.cluster.status(agent)["incarnation"] == lives
-    assert here.cluster.status(entry)["ready"]
+    assert site.cluster.status(agent)["incarnation"] == incarnation
+    assert site.cluster.status(entry)["ready"]
 
 
-def test_callers_and_operators_are_told_what_is_wrong(
-    site: Callable[[Plan], Site],
+def test_clients_and_operators_get_specific_errors(
+    start_site: Callable[[Plan], ClusterSite],
 ) -> None:
-    here = site(Plan(domains=("a",), entries=1, targets=0, plain=0))
-    entry = here.cluster.entries[0].http
-    pool = here.cluster.pool
+    site = start_site(Plan(domains=("a",), entries=1, targets=0, plain=0))
+    entry = site.cluster.entries[0].http
+    pool = site.cluster.pool
 
-    def call(path: str, **headers: str) -> tuple[int, str]:
+    def post_request(path: str, **headers: str) -> tuple[int, str]:
         reply = pool.request(
             "POST", f"http://{entry}{path}", headers=headers, body="{}"
         )
         return reply.status, reply.headers.get("Ridgecourse-Outcome", "")
 
-    key = {"Authorization": f"Bearer {here.caller.key}"}
+    authorization = {"Authorization": f"Bearer {site.client.key}"}
     path = f"/v1/{FLEET}/{MODEL_SERVICE}"
-    assert call(path) == (401, "not-run")
-    assert call(path, Authorization="Bearer wrong") == (401, "not-run")
-    assert call(f"/v1/other/{MODEL_SERVICE}", **key) == (401, "not-run")
-    assert call(f"/v1/{FLEET}/none", **key) == (404, "not-run")
-    wrong = {"Ridgecourse-Deadline-Ms": "soon", **key}
-    assert call(path, **wrong) == (400, "not-run")
-    assert call(path, **key) == (503, "not-run")
-
-    def admin(fields: dict[str, object], token: str) -> dict[str, object]:
-        return here.cluster.post_json(
+    assert post_request(path) == (401, "not-run")
+    assert post_request(path, Authorization="Bearer wrong") == (401, "not-run")
+    assert post_request(f"/v1/other/{MODEL_SERVICE}", **authorization) == (
+        401,
+        "not-run",
+    )
+    assert post_request(f"/v1/{FLEET}/none", **authorization) == (404, "not-run")
+    invalid_deadline = {"Ridgecourse-Deadline-Ms": "soon", **authorization}
+    assert post_request(path, **invalid_deadline) == (400, "not-run")
+    assert post_request(path, **authorization) == (503, "not-run")
+
+    def create_fleet(fields: dict[str, object], token: str) -> dict[str, object]:
+        return site.cluster.post_json(
             entry,
             "/ridgecourse.wire.Admin/CreateFleet",
             fields,
             {"Authorization": f"Bearer {token}"},
         )
 
-    assert admin({"fleet": "x"}, "wrong")["code"] == "unauthenticated"
-    mistyped = admin({"fleet": "x", "originCopys": 3}, OPERATOR_TOKEN)
-    assert "originCopys" in str(mistyped["message"])
-    nested = admin({"fleet": "x", "header": {"changeID": "1"}}, OPERATOR_TOKEN)
-    assert "header.changeID" in str(nested["message"])
-    assert admin({"fleet": "a b"}, OPERATOR_TOKEN)["code"] == "invalid_argument"
+    assert create_fleet({"fleet": "x"}, "wrong")["code"] == "unauthenticated"
+    field_error = create_fleet({"fleet": "x", "originCopys": 3}, OPERATOR_TOKEN)
+    assert "originCopys" in str(field_error["message"])
+    nested_field_error = create_fleet(
+        {"fleet": "x", "header": {"changeID": "1"}}, OPERATOR_TOKEN
+    )
+    assert "header.changeID" in str(nested_field_error["message"])
+    assert create_fleet({"fleet": "a b"}, OPERATOR_TOKEN)["code"] == "invalid_argument"
--- a/tests/test_kept_connections.py
+++ b/tests/test_kept_connections.py
@@ -1,4 +1,4 @@
-"""Small questions over connections that stay open."""
+"""Tests of requests over persistent connections."""
 
 import socket
 from collections.abc import Iterator
@@ -10,16 +10,21 @@
 from ridgecourse.net.kept_connections import PersistentConnections
 from ridgecourse_standins.ports import free_address
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-class Answerer:
-    """Answers each connection with the next list of bytes, and then closes it."""
+class ScriptedServer:
+    """Sends the responses of one script on each connection, then closes the connection.
+
+    Attributes:
+        scripts: For each connection, the responses to its requests.
+        connection_count: Number of connections accepted so far.
+    """
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
-        self.plans: list[list[bytes]] = []
-        self.connections = 0
+        self.scripts: list[list[bytes]] = []
+        self.connection_count = 0
         self.thread = Thread(target=self.run, daemon=True)
 
     @property
@@ -28,69 +33,71 @@
         return f"{host}:{port}"
 
     def run(self) -> None:
-        while self.plans:
+        while self.scripts:
             connection, _ = self.listener.accept()
-            self.connections += 1
+            self.connection_count += 1
             with connection:
-                for answer in self.plans.pop(0):
+                for answer in self.scripts.pop(0):
                     if not connection.recv(4096):
                         break
                     connection.sendall(answer)
 
 
 @pytest.fixture
-def answerer() -> Iterator[Answerer]:
-    made = Answerer()
-    yield made
-    made.listener.close()
+def server() -> Iterator[ScriptedServer]:
+    scripted_server = ScriptedServer()
+    yield scripted_server
+    scripted_server.listener.close()
 
 
-def start(answerer: Answerer, *plans: list[bytes]) -> PersistentConnections:
-    answerer.plans = list(plans)
-    answerer.thread.start()
-    return PersistentConnections(answerer.address, "127.0.0.1")
+def start_server(
+    server: ScriptedServer, *scripts: list[bytes]
+) -> PersistentConnections:
+    server.scripts = list(scripts)
+    server.thread.start()
+    return PersistentConnections(server.address, "127.0.0.1")
 
 
-def test_questions_share_a_connection(answerer) -> None:
-    kept = start(answerer, [ANSWER] * 3)
-    assert [kept.get("/", 2.0) for _ in range(3)] == [(200, b"ok")] * 3
-    assert answerer.connections == 1
+def test_requests_share_a_connection(server) -> None:
+    client = start_server(server, [RESPONSE] * 3)
+    assert [client.get("/", 2.0) for _ in range(3)] == [(200, b"ok")] * 3
+    assert server.connection_count == 1
 
 
-def test_a_connection_that_was_closed_is_opened_anew(answerer) -> None:
-    kept = start(answerer, [ANSWER], [ANSWER])
-    assert kept.get("/", 2.0) == (200, b"ok")
-    answerer.thread.join(0.2)
-    assert kept.get("/", 2.0) == (200, b"ok")
-    assert answerer.connections == 2
+def test_closed_connection_is_replaced(server) -> None:
+    client = start_server(server, [RESPONSE], [RESPONSE])
+    assert client.get("/", 2.0) == (200, b"ok")
+    server.thread.join(0.2)
+    assert client.get("/", 2.0) == (200, b"ok")
+    assert server.connection_count == 2
 
 
-def test_an_answer_that_ends_its_connection_leaves_none(answerer) -> None:
-    last = ANSWER.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
-    kept = start(answerer, [last], [ANSWER])
-    assert [kept.get("/", 2.0) for _ in range(2)] == [(200, b"ok")] * 2
-    assert answerer.connections == 2
+def test_connection_is_not_kept_after_connection_close(server) -> None:
+    closing_response = RESPONSE.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
+    client = start_server(server, [closing_response], [RESPONSE])
+    assert [client.get("/", 2.0) for _ in range(2)] == [(200, b"ok")] * 2
+    assert server.connection_count == 2
 
 
 @pytest.mark.parametrize(
     "answer",
-    [b"", b"no answer\r\n\r\n", ANSWER[:-1]],
+    [b"", b"no answer\r\n\r\n", RESPONSE[:-1]],
     ids=["none", "no HTTP", "a short body"],
 )
-def test_what_is_no_answer_fails_once(answerer, answer) -> None:
-    kept = start(answerer, [answer])
+def test_invalid_response_fails_without_retry(server, answer) -> None:
+    client = start_server(server, [answer])
     with pytest.raises(ExchangeFailed):
-        kept.get("/", 2.0)
-    assert not kept.idle_connections
+        client.get("/", 2.0)
+    assert not client.idle_connections
 
 
-def test_silence_ends_when_the_time_is_up(answerer) -> None:
-    kept = start(answerer, [ANSWER, b""])
-    assert kept.get("/", 2.0) == (200, b"ok")
+def test_missing_response_fails_after_timeout(server) -> None:
+    client = start_server(server, [RESPONSE, b""])
+    assert client.get("/", 2.0) == (200, b"ok")
     with pytest.raises(ExchangeFailed):
-        kept.get("/", 0.2)
+        client.get("/", 0.2)
 
 
-def test_a_process_that_is_not_there_is_told_apart() -> None:
+def test_refused_connection_is_reported_as_no_connection() -> None:
     with pytest.raises(NoConnection):
         PersistentConnections(free_address()).get("/", 2.0)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,7 @@
-"""The chunk planner against a simple oracle: chunks that some source holds arrive."""
+"""Compares the chunk planner with a simple model.
+
+Every chunk that some source holds must arrive, within the limits on fetches.
+"""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -21,23 +24,29 @@
     for number in range(3)
 ]
 POLICY = PlanPolicy(classes=4, neighbours=2, fetches=3, per_source=2)
-LONG = 60.0
+LONG_WAIT = 60.0
 
 
 class PlannerMachine(RuleBasedStateMachine):
-    """Drives one agent's planner; the oracle is the set of chunks it was given."""
+    """Drives the planner of one agent; the model is the set of chunks that arrived.
+
+    Attributes:
+        held: The chunks that the agent holds.
+        in_flight: The fetches in progress.
+        known: Chunks that each source is known to hold, by source.
+    """
 
     @initialize(
-        me=st.sampled_from(MEMBERS),
+        local=st.sampled_from(MEMBERS),
         held=st.sets(st.sampled_from(CHUNKS)),
         copies=st.integers(1, 4),
     )
-    def begin(self, me: Member, held: set[ChunkDigest], copies: int) -> None:
+    def set_up(self, local: Member, held: set[ChunkDigest], copies: int) -> None:
         self.now = Seconds(0.0)
-        self.got = set(held)
-        self.flying: list[Fetch] = []
+        self.held = set(held)
+        self.in_flight: list[Fetch] = []
         self.planner = ChunkPlanner(
-            me, RootDigest("r"), CHUNKS, held, MEMBERS, POLICY, self.now, copies
+            local, RootDigest("r"), CHUNKS, held, MEMBERS, POLICY, self.now, copies
         )
         self.known: dict[TargetName, set[ChunkDigest]] = {
             source: set() for source in self.planner.sources
@@ -45,11 +54,13 @@
 
     def plan(self) -> None:
         for fetch in self.planner.plan(self.now):
-            assert fetch.digest not in self.got, "fetches what it holds"
+            assert fetch.digest not in self.held, "fetches a chunk that the agent holds"
             if fetch.source != ORIGIN:
-                assert fetch.digest in self.known[fetch.source], "asks who has it not"
-            assert fetch not in self.flying, "asks one source twice at a time"
-            self.flying.append(fetch)
+                assert fetch.digest in self.known[fetch.source], (
+                    "asks a source that does not hold the chunk"
+                )
+            assert fetch not in self.in_flight, "repeats a fetch that is in progress"
+            self.in_flight.append(fetch)
 
     @rule(data=st.data(), chunks=st.sets(st.sampled_from(CHUNKS)))
     def peer_holds(self, data: st.DataObject, chunks: set[ChunkDigest]) -> None:
@@ -65,26 +76,26 @@
         self.planner.drop_peer(peer)
 
     @rule(chunks=st.sets(st.sampled_from(CHUNKS)))
-    def heard_of(self, chunks: set[ChunkDigest]) -> None:
+    def fleet_holds(self, chunks: set[ChunkDigest]) -> None:
         self.planner.record_fleet_chunks(chunks, self.now)
 
     @rule(index=st.integers(0, 20))
     def arrive(self, index: int) -> None:
-        if not self.flying:
+        if not self.in_flight:
             return
-        fetch = self.flying.pop(index % len(self.flying))
-        fresh = self.planner.record_arrival(fetch.digest, fetch.source, self.now)
-        assert fresh == (fetch.digest not in self.got)
-        self.got.add(fetch.digest)
+        fetch = self.in_flight.pop(index % len(self.in_flight))
+        is_new = self.planner.record_arrival(fetch.digest, fetch.source, self.now)
+        assert is_new == (fetch.digest not in self.held)
+        self.held.add(fetch.digest)
         self.plan()
 
-    @rule(index=st.integers(0, 20), why=st.sampled_from(FetchFailure))
-    def fail(self, index: int, why: FetchFailure) -> None:
-        if not self.flying:
+    @rule(index=st.integers(0, 20), reason=st.sampled_from(FetchFailure))
+    def fail(self, index: int, reason: FetchFailure) -> None:
+        if not self.in_flight:
             return
-        fetch = self.flying.pop(index % len(self.flying))
-        self.planner.record_failure(fetch.digest, fetch.source, why, self.now)
-        if why is FetchFailure.MISSING and fetch.source != ORIGIN:
+        fetch = self.in_flight.pop(index % len(self.in_flight))
+        self.planner.record_failure(fetch.digest, fetch.source, reason, self.now)
+        if reason is FetchFailure.MISSING and fetch.source != ORIGIN:
             self.known[fetch.source].discard(fetch.digest)
         self.plan()
 
@@ -94,26 +105,26 @@
         self.plan()
 
     @rule()
-    def everything_arrives_in_the_end(self) -> None:
-        """With a working origin and nobody else, all chunks arrive."""
+    def everything_arrives_from_origin(self) -> None:
+        """All chunks arrive if only the origin answers."""
         for peer in self.known:
             self.known[peer].clear()
             self.planner.drop_peer(peer)
         for _ in range(4 * len(CHUNKS)):
-            while self.flying:
-                fetch = self.flying.pop()
+            while self.in_flight:
+                fetch = self.in_flight.pop()
                 self.planner.record_arrival(fetch.digest, fetch.source, self.now)
-                self.got.add(fetch.digest)
-            self.now = Seconds(self.now + LONG)
+                self.held.add(fetch.digest)
+            self.now = Seconds(self.now + LONG_WAIT)
             self.plan()
-        assert self.got == set(CHUNKS), "gave up on chunks that the origin has"
+        assert self.held == set(CHUNKS), "chunks that the origin holds did not arrive"
 
     @invariant()
-    def budgets_are_kept(self) -> None:
+    def fetch_limits_are_kept(self) -> None:
         if not hasattr(self, "planner"):
             return
-        from_peers = [f for f in self.flying if f.source != ORIGIN]
-        from_origin = [f for f in self.flying if f.source == ORIGIN]
+        from_peers = [fetch for fetch in self.in_flight if fetch.source != ORIGIN]
+        from_origin = [fetch for fetch in self.in_flight if fetch.source == ORIGIN]
         assert len(from_origin) <= POLICY.classes
         assert len(from_peers) <= POLICY.fetches
         for source in self.known:
@@ -121,11 +132,11 @@
             assert count <= POLICY.per_source
 
     @invariant()
-    def books_agree_with_the_oracle(self) -> None:
+    def chunks_match_model(self) -> None:
         if hasattr(self, "planner"):
-            assert self.planner.held == self.got
-            assert set(self.planner.missing) == set(CHUNKS) - self.got
-            assert self.planner.is_complete() == (self.got == set(CHUNKS))
+            assert self.planner.held == self.held
+            assert set(self.planner.missing) == set(CHUNKS) - self.held
+            assert self.planner.is_complete() == (self.held == set(CHUNKS))
 
 
 TestPlanner = PlannerMachine.TestCase
@@ -134,13 +145,15 @@
 )
 
 
-def make_planner(me: Member, copies: int = 1) -> ChunkPlanner:
+def make_planner(local: Member, copies: int = 1) -> ChunkPlanner:
     return ChunkPlanner(
-        me, RootDigest("r"), CHUNKS, (), MEMBERS, POLICY, Seconds(0.0), copies
+        local, RootDigest("r"), CHUNKS, (), MEMBERS, POLICY, Seconds(0.0), copies
     )
 
 
-def drawers(copies: int, now: float = 0.0) -> dict[TargetName, list[ChunkDigest]]:
+def origin_fetches(
+    copies: int, now: float = 0.0
+) -> dict[TargetName, list[ChunkDigest]]:
     fetches = {}
     for member in MEMBERS:
         planned = list(make_planner(member, copies).plan(Seconds(now)))
@@ -149,49 +162,57 @@
     return fetches
 
 
-def test_each_class_is_drawn_by_one_agent_of_the_fleet() -> None:
-    drawn = [digest for digests in drawers(1).values() for digest in digests]
-    assert len(drawn) == len(set(drawn)) == POLICY.classes
+def test_each_class_is_fetched_by_one_agent_of_fleet() -> None:
+    fetched = [digest for digests in origin_fetches(1).values() for digest in digests]
+    assert len(fetched) == len(set(fetched)) == POLICY.classes
 
 
-def test_with_three_copies_each_domain_draws_its_own() -> None:
+def test_each_domain_fetches_its_own_of_three_copies() -> None:
     by_domain: dict[str, int] = {}
-    for target, digests in drawers(3).items():
+    for target, digests in origin_fetches(3).items():
         by_domain[target[0]] = by_domain.get(target[0], 0) + len(digests)
     assert by_domain == {"a": 4, "b": 4, "c": 4}
 
 
-def test_the_next_candidate_draws_when_a_class_stalls() -> None:
-    assert len(drawers(1, now=10.0)) > len(drawers(1))
+def test_next_candidate_fetches_when_class_stalls() -> None:
+    assert len(origin_fetches(1, now=10.0)) > len(origin_fetches(1))
 
 
-def test_a_chunk_heard_of_in_the_domain_is_not_brought_in_again() -> None:
+def test_chunk_available_in_domain_is_not_imported_again() -> None:
     for member in MEMBERS:
         planner = make_planner(member)
-        local = [t for t in planner.sources if t.startswith(member.domain)]
-        outside = [t for t in planner.sources if not t.startswith(member.domain)]
-        if not outside or not local:
+        local_sources = [
+            source for source in planner.sources if source.startswith(member.domain)
+        ]
+        remote = [
+            source for source in planner.sources if not source.startswith(member.domain)
+        ]
+        if not remote or not local_sources:
             continue
-        planner.record_peer_chunks(local[0], CHUNKS, Seconds(0.0))
-        planner.record_peer_chunks(outside[0], CHUNKS, Seconds(0.0))
-        assert all(f.source not in outside for f in planner.plan(Seconds(0.0)))
+        planner.record_peer_chunks(local_sources[0], CHUNKS, Seconds(0.0))
+        planner.record_peer_chunks(remote[0], CHUNKS, Seconds(0.0))
+        assert all(fetch.source not in remote for fetch in planner.plan(Seconds(0.0)))
 
 
-def test_a_chunk_whose_local_holder_does_not_answer_is_brought_in() -> None:
-    """The holder is frozen: its connection stands, its answers stall."""
+def test_chunk_is_imported_if_local_source_does_not_answer() -> None:
+    """The local source is paused: its connection stays open, but its answers stall."""
     for member in MEMBERS:
         planner = make_planner(member)
-        local = [t for t in planner.sources if t.startswith(member.domain)]
-        outside = [t for t in planner.sources if not t.startswith(member.domain)]
-        if not outside or not local:
+        local_sources = [
+            source for source in planner.sources if source.startswith(member.domain)
+        ]
+        remote = [
+            source for source in planner.sources if not source.startswith(member.domain)
+        ]
+        if not remote or not local_sources:
             continue
-        planner.record_peer_chunks(local[0], CHUNKS, Seconds(0.0))
-        planner.record_peer_chunks(outside[0], CHUNKS, Seconds(0.0))
+        planner.record_peer_chunks(local_sources[0], CHUNKS, Seconds(0.0))
+        planner.record_peer_chunks(remote[0], CHUNKS, Seconds(0.0))
         sources = set()
         for step in range(200):
             now = Seconds(float(step))
             for fetch in list(planner.plan(now)):
                 sources.add(fetch.source)
-                why = FetchFailure.STALLED
-                planner.record_failure(fetch.digest, fetch.source, why, now)
-        assert outside[0] in sources
+                reason = FetchFailure.STALLED
+                planner.record_failure(fetch.digest, fetch.source, reason, now)
+        assert remote[0] in sources
