--- a/tests/platform/test_crash_news.py
+++ b/tests/platform/test_crash_news.py
@@ -40,7 +40,7 @@
 CRASHING = RequestSignature(b"crashing")
 
 
-class Site:
+class LinkedGateways:
     """Gateways whose links deliver each datagram at once.
 
     Attributes:
@@ -97,7 +97,7 @@
 def test_number_of_crash_reports_of_an_end_is_independent_of_site_size(
     count: int,
 ) -> None:
-    site = Site(count)
+    site = LinkedGateways(count)
     site.end_engine(
         1, [RequestSignature(b"harmless %d" % n) for n in range(REQUEST_COUNT)]
     )
@@ -108,7 +108,7 @@
 def test_all_gateways_block_a_request_whose_ends_different_gateways_saw(
     count: int,
 ) -> None:
-    site = Site(count)
+    site = LinkedGateways(count)
     for number in range(3):
         site.end_engine(number, [CRASHING])
     assert site.decisions(CRASHING) == {SendDecision.BLOCKED}
--- a/tests/platform/test_crash_suspects.py
+++ b/tests/platform/test_crash_suspects.py
@@ -77,7 +77,7 @@
         gateways: The state of each gateway.
         datagrams: Crash reports that are under way.
         flights: Requests in flight at engines.
-        isolated: Gateways that can reach only each other.
+        isolated: Gateways that are cut off from the others and reach only each other.
         engine_count: Number of engines started so far.
         ends: Engines that ended while they ran each request, and when.
         answered: Time of the last answer to each request.
@@ -123,14 +123,14 @@
         suspects = self.gateways[gateway]
         if suspects.check(signature, now) is not SendDecision.FREE:
             return
-        busy = {flight.incarnation for flight in self.flights}
-        busy_targets = sorted(
-            busy - set(suspects.engines_to_avoid(signature, now)), key=str
+        busy_targets = {flight.incarnation for flight in self.flights}
+        usable_targets = sorted(
+            busy_targets - set(suspects.engines_to_avoid(signature, now)), key=str
         )
         self.engine_count += 1
         target = (
-            busy_targets[0]
-            if busy_targets and self.engine_count % 2
+            usable_targets[0]
+            if usable_targets and self.engine_count % 2
             else make_incarnation(self.engine_count)
         )
         suspects.begin(signature, target)
--- a/tests/platform/test_engine_lives.py
+++ b/tests/platform/test_engine_lives.py
@@ -171,7 +171,10 @@
 def test_a_stream_of_an_earlier_incarnation_continues_at_the_next_one(
     front: GatewaySite,
 ) -> None:
-    """The new incarnation has not received the request, only its identity has."""
+    """The new incarnation has not received the request yet.
+
+    The identity of the target has, but that must not prevent the continuation.
+    """
     first = add_first_incarnation(front, "first", BORN, "llm")
     may_disconnect = Event()
 
@@ -209,7 +212,10 @@
 def test_a_report_of_an_earlier_incarnation_does_not_replace_a_newer_report(
     front: GatewaySite,
 ) -> None:
-    """The earlier incarnation had no weights, so its report would end all requests."""
+    """The earlier incarnation had no weights.
+
+    If its report replaced the newer one, the engine would get no requests.
+    """
     loader = LoaderStandIn(ENGINE_HOST, front.settings["internal_port_range"][0])
 
     def report(started: int, **fields: Any) -> None:
