--- a/tests/platform/test_foreign_decisions.py
+++ b/tests/platform/test_foreign_decisions.py
@@ -1,9 +1,10 @@
-"""Configurations and names of versions that another writer left in the store.
+"""Invalid configurations and version decisions that another writer stored.
 
-What holds stays in force, also for a process that starts: the newest record of the key
-tells it nothing, so that the one before is kept elsewhere. Before, a configuration that
-lacked its accounts opened all routes to everybody, shares of nothing made each request
-of a route fail, and version 0 or a version of another model was taken as named.
+The last valid decision stays in force. The newest record of its key is then invalid, so
+the valid one is pinned elsewhere for processes that start later. The tests guard
+against these failures: a configuration without tenants opens all routes to every
+client; a route whose weights are all 0 fails each request; version 0 or a version of
+another model is accepted as named.
 """
 
 from collections.abc import Iterator
@@ -27,8 +28,8 @@
 from ridgecourse.platform.names import CONFIG_KEY, DECISIONS_TOPIC
 
 
-def paths_of(value: Any, path: tuple = ()) -> Iterator[tuple]:
-    """Yield the place of each part of a JSON value."""
+def element_paths(value: Any, path: tuple = ()) -> Iterator[tuple]:
+    """Yield the path of each nested element of a JSON value."""
     items: Any = []
     if isinstance(value, dict):
         items = value.items()
@@ -36,37 +37,39 @@
         items = enumerate(value)
     for name, inner in items:
         yield (*path, name)
-        yield from paths_of(inner, (*path, name))
+        yield from element_paths(inner, (*path, name))
 
 
 NEWER = make_config(2)
 NEWER["routes"].append(
     make_route("/split/", "safe", "", backends=[{"service": "app", "weight": 9}])
 )
-PATHS = sorted(paths_of(NEWER), key=str)
+PATHS = sorted(element_paths(NEWER), key=str)
 
 
-def edit(config: dict[str, Any], path: tuple, value: Any = None, drop: bool = False):
-    """Return a configuration with one place dropped or of another value."""
+def edit(config: dict[str, Any], path: tuple, value: Any = None, remove: bool = False):
+    """Return a configuration with one element removed or replaced."""
     edited = deepcopy(config)
-    place: Any = edited
+    container: Any = edited
     for name in path[:-1]:
-        place = place[name]
-    if drop:
-        del place[path[-1]]
+        container = container[name]
+    if remove:
+        del container[path[-1]]
     else:
-        place[path[-1]] = value
+        container[path[-1]] = value
     return edited
 
 
-def use_config(reader: Reader) -> None:
-    """Ask for each route of the configuration in force."""
+def look_up_routes(reader: Reader) -> None:
+    """Look up the terms of a request for each route of the current configuration."""
     config = reader.view.config
     assert config is not None
     for routes in config.routes.values():
         for route in routes:
-            call = Mock(spec=ClientRequest, host=route.host, path=route.prefix, key=KEY)
-            find_terms(call, config, Random(1))
+            request = Mock(
+                spec=ClientRequest, host=route.host, path=route.prefix, key=KEY
+            )
+            find_terms(request, config, Random(1))
     for service in config.services.values():
         if service.engine is not None:
             assert service.engine.slots > 0
@@ -80,35 +83,37 @@
     assert reader.view.config is not None
     if reader.view.config.version == 1:
         assert len(reader.events.bad()) <= 1
-    use_config(reader)
+    look_up_routes(reader)
     if reader.view.config.version < 2**53:
         reader.decide(CONFIG_KEY, make_config(2**53))
     assert reader.view.config.find_route(HOST, "/safe/x") is not None
 
 
 @given(path=st.sampled_from(PATHS))
-def test_a_configuration_that_lacks_something_never_raises(path: tuple) -> None:
-    check_config(edit(NEWER, path, drop=True))
+def test_a_configuration_without_an_element_never_raises(path: tuple) -> None:
+    check_config(edit(NEWER, path, remove=True))
 
 
 @settings(max_examples=300)
 @given(path=st.sampled_from(PATHS), value=json_values)
-def test_a_configuration_of_other_values_never_raises(path: tuple, value: Any) -> None:
+def test_a_configuration_with_an_arbitrary_value_never_raises(
+    path: tuple, value: Any
+) -> None:
     check_config(edit(NEWER, path, value))
 
 
-BAD_CONFIGS = {
+INVALID_CONFIGS = {
     "no tenants": without(NEWER, "tenants"),
     "no limits": without(NEWER, "limits"),
     "no routes": without(NEWER, "routes"),
     "no services": without(NEWER, "services"),
     "no version": without(NEWER, "version"),
     "version 0": change(NEWER, version=0),
-    "a version of text": change(NEWER, version="3"),
+    "a version that is text": change(NEWER, version="3"),
     "a version with a fraction": change(NEWER, version=2.5),
     "a version that is true": change(NEWER, version=True),
-    "a route to nobody": change(NEWER, routes=[make_route("/a/", "safe", "")]),
-    "shares of nothing": change(
+    "a route without a service": change(NEWER, routes=[make_route("/a/", "safe", "")]),
+    "weights that are all 0": change(
         NEWER,
         routes=[
             make_route(
@@ -122,31 +127,33 @@
             )
         ],
     ),
-    "a negative share": change(
+    "a negative weight": change(
         NEWER,
         routes=[
             make_route("/a/", "safe", "", backends=[{"service": "app", "weight": -1}])
         ],
     ),
-    "no time": change(NEWER, routes=[make_route("/a/", "safe", "app", timeout_ms=0)]),
-    "no attempt": change(
+    "a timeout of 0": change(
+        NEWER, routes=[make_route("/a/", "safe", "app", timeout_ms=0)]
+    ),
+    "no attempts": change(
         NEWER, routes=[make_route("/a/", "safe", "app", max_attempts=0)]
     ),
     "no connections": change(
         NEWER, services=[{"name": "app", "health_path": "/h", "max_connections": 0}]
     ),
-    "an origin nowhere": change(
+    "an origin with an invalid address": change(
         NEWER, services=[{"name": "kafi", "origin": "nowhere", "zone": "a"}]
     ),
     "a list": [],
     "a value that is no JSON": Raw(b"\xff{"),
-    "a value without end": Raw(b"[" * 100_000),
+    "unterminated lists": Raw(b"[" * 100_000),
     "no value": Raw(b""),
 }
 
 
-@pytest.mark.parametrize("bad", BAD_CONFIGS.values(), ids=BAD_CONFIGS)
-def test_a_bad_configuration_leaves_the_one_in_force(bad: Any) -> None:
+@pytest.mark.parametrize("bad", INVALID_CONFIGS.values(), ids=INVALID_CONFIGS)
+def test_an_invalid_configuration_does_not_replace_the_current_one(bad: Any) -> None:
     reader = Reader()
     reader.decide(CONFIG_KEY, make_config(1))
     known = reader.view.config
@@ -154,14 +161,14 @@
     assert reader.view.config is known
     (line,) = reader.events.bad()
     assert line["key"] == CONFIG_KEY
-    # Who starts reads the bad one; what holds is kept for it elsewhere.
+    # A process that starts reads the invalid one; the valid one is pinned for it.
     (kept,) = reader.keeper.pin.call_args.args
     assert kept.value == encode(make_config(1))
     reader.decide(CONFIG_KEY, make_config(2))
     assert reader.view.config.version == 2
 
 
-BAD_NAMES = [
+INVALID_VERSION_DECISIONS = [
     {"model": MODEL},
     {"version": 3},
     {"model": MODEL, "version": 0},
@@ -178,13 +185,13 @@
 ]
 
 
-def name_value(value: Any) -> str:
-    """Return a name that is the same in every process."""
+def format_parameter_id(value: Any) -> str:
+    """Return a parameter id that is the same in every process."""
     return str(bytes(value) if isinstance(value, Raw) else value)
 
 
-@pytest.mark.parametrize("bad", BAD_NAMES, ids=name_value)
-def test_a_bad_name_of_a_version_leaves_the_one_in_force(bad: Any) -> None:
+@pytest.mark.parametrize("bad", INVALID_VERSION_DECISIONS, ids=format_parameter_id)
+def test_an_invalid_version_decision_does_not_replace_the_current_one(bad: Any) -> None:
     reader = Reader()
     key = f"version/{MODEL}"
     reader.decide(key, {"model": MODEL, "version": 2})
@@ -197,7 +204,9 @@
 
 
 @given(value=st.binary() | json_values.map(encode))
-def test_any_value_of_a_decision_leaves_what_is_in_force(value: bytes) -> None:
+def test_arbitrary_decision_values_do_not_replace_the_current_ones(
+    value: bytes,
+) -> None:
     reader = Reader()
     reader.decide(CONFIG_KEY, make_config(1))
     reader.decide(f"version/{MODEL}", {"model": MODEL, "version": 2})
@@ -208,23 +217,23 @@
     assert reader.view.wanted_version(ModelName(MODEL)) == 2
 
 
-def bad_keys(front: GatewaySite) -> set[str]:
+def invalid_keys(front: GatewaySite) -> set[str]:
     events = front.gateway.events()
     bad = [event["detail"] for event in events if event["kind"] == "bad-input"]
     return {detail["key"] for detail in bad}
 
 
-def test_a_gateway_serves_on_with_records_of_another_writer(front) -> None:
+def test_a_gateway_serves_despite_invalid_records(front) -> None:
     front.add_engine("app")
     front.start()
     front.store.put(DECISIONS_TOPIC, CONFIG_KEY, Raw(b"\xff\xfe"))
     front.store.put_target("i-9", {"service": ["app"]})
-    front.wait_until(lambda: {CONFIG_KEY, "i-9"} <= bad_keys(front))
+    front.wait_until(lambda: {CONFIG_KEY, "i-9"} <= invalid_keys(front))
     assert front.ask("/safe/x")[0] == 200
 
 
-def test_a_gateway_that_starts_on_a_bad_configuration_serves(front) -> None:
-    """The newest record of the key is of no use; the one before it was kept."""
+def test_a_gateway_that_starts_with_an_invalid_configuration_serves(front) -> None:
+    """The newest record of the key is invalid; the one before it was pinned."""
     front.add_engine("app")
     front.start()
     front.store.put(DECISIONS_TOPIC, CONFIG_KEY, Raw(b"\xff\xfe"))
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -1,12 +1,14 @@
-"""Records that another writer left in the platform's store.
+"""Invalid target entries that another writer left in the platform's store.
 
-A writer that is not ours may leave anything under any key: fields missing or of another
-type, states and services that nobody names, bytes that are no text. Such a record names
-no engine to use, is counted, and is logged once with its key. The others hold.
+Another writer may store anything under any key: entries with missing fields or fields
+of another type, unknown states and services, or bytes that are not text. Such an entry
+must not name a usable engine. It is counted, and logged once with its key; other
+entries stay in force.
 
-Before, an entry of an unknown state counted as ready, one without slots or with an
-address that is none was listed, a bad entry that replaced a good one left that in
-force, and each was logged again whenever it was read.
+The tests guard against these failures: an entry with an unknown state counts as ready;
+an entry without slots or with an invalid address is listed; an invalid entry that
+replaces a valid one leaves the valid one in force; an invalid entry is logged again at
+each read.
 """
 
 from typing import Any
@@ -22,10 +24,10 @@
 from ridgecourse.net.record_source import KeyedRecord, RecordBatch, Topic
 from ridgecourse.platform.names import CONFIG_KEY
 
-LINES_ALLOWED = 100
-"""Lines on records that could not be used, however many there are."""
+MAX_LOG_LINES = 100
+"""Maximum number of log lines for invalid records, for any number of records."""
 
-NAMED_FIELDS = (
+REQUIRED_FIELDS = (
     "service",
     "address",
     "zone",
@@ -36,19 +38,19 @@
     "sequence",
 )
 
-BAD_ENTRIES = {
+INVALID_ENTRIES = {
     "an unknown state": change(ENTRY, state="sleeping"),
     "no address": change(ENTRY, address="nowhere"),
-    "a name for an address": change(ENTRY, address="host.example:80"),
+    "a host name as the address": change(ENTRY, address="host.example:80"),
     "port 0": change(ENTRY, address="10.0.0.1:0"),
-    "a port of other digits": change(ENTRY, address="10.0.0.1:\u0661\u0662"),
-    "a port too many": change(ENTRY, address="10.0.0.1:65536"),
+    "a port of non-ASCII digits": change(ENTRY, address="10.0.0.1:\u0661\u0662"),
+    "a port above 65535": change(ENTRY, address="10.0.0.1:65536"),
     "a port of 5,000 digits": change(ENTRY, address="10.0.0.1:" + "1" * 5000),
     "no slots": change(ENTRY, slots=0),
     "negative slots": change(ENTRY, slots=-3),
     "half a slot": change(ENTRY, slots=1.5),
     "slots that are true": change(ENTRY, slots=True),
-    "slots beyond all measure": change(ENTRY, slots=2**60),
+    "too many slots": change(ENTRY, slots=2**60),
     "models that are no list": change(ENTRY, models={"name": MODEL}),
     "a model without version": change(ENTRY, models=[{"name": MODEL}]),
     "a negative version": change(ENTRY, models=[{"name": MODEL, "version": -1}]),
@@ -58,15 +60,15 @@
     ),
     "no service": change(ENTRY, service=""),
     "no zone": change(ENTRY, zone=""),
-    "nothing": {},
+    "no fields": {},
     "a list": [],
     "null": None,
-    **{f"without {field}": without(ENTRY, field) for field in NAMED_FIELDS},
+    **{f"without {field}": without(ENTRY, field) for field in REQUIRED_FIELDS},
 }
 
 
-@pytest.mark.parametrize("bad", BAD_ENTRIES.values(), ids=BAD_ENTRIES)
-def test_a_bad_entry_names_no_engine_and_the_others_hold(bad: Any) -> None:
+@pytest.mark.parametrize("bad", INVALID_ENTRIES.values(), ids=INVALID_ENTRIES)
+def test_an_invalid_entry_is_ignored_and_logged(bad: Any) -> None:
     reader = Reader()
     reader.list(("i-1", ENTRY), ("i-2", bad), ("i-3", ENTRY))
     assert reader.serving() == {"i-1", "i-3"}
@@ -75,9 +77,9 @@
     assert line["key"] == "i-2"
 
 
-@pytest.mark.parametrize("bad", BAD_ENTRIES.values(), ids=BAD_ENTRIES)
-def test_a_bad_entry_that_replaces_a_good_one_takes_it_out(bad: Any) -> None:
-    """At once, also while removals after an outage are not believed yet."""
+@pytest.mark.parametrize("bad", INVALID_ENTRIES.values(), ids=INVALID_ENTRIES)
+def test_an_invalid_entry_removes_the_valid_one_it_replaces(bad: Any) -> None:
+    """The removal is immediate, also while removals after an outage are deferred."""
     reader = Reader()
     reader.list(("i-1", ENTRY), ("i-2", ENTRY))
     reader.view.targets.record_outage_end(Seconds(1e12))
@@ -88,7 +90,7 @@
 
 
 @pytest.mark.parametrize("field", ENTRY)
-def test_an_entry_with_one_field_of_another_type_names_no_engine(field: str) -> None:
+def test_an_entry_with_a_field_of_the_wrong_type_is_ignored(field: str) -> None:
     reader = Reader()
     reader.list(("i-1", ENTRY), ("i-2", change(ENTRY, **{field: {"x": [1]}})))
     assert reader.serving() == {"i-1"}
@@ -98,7 +100,7 @@
 
 
 @given(value=st.binary(min_size=1) | json_values.map(encode))
-def test_any_value_of_an_entry_leaves_the_others(value: bytes) -> None:
+def test_arbitrary_entry_values_do_not_affect_other_entries(value: bytes) -> None:
     reader = Reader()
     good = encode(ENTRY)
     reader.read(Topic.TARGETS, (b"i-1", good), (b"i-2", value), (b"i-3", good))
@@ -106,7 +108,7 @@
 
 
 @given(field=st.sampled_from(sorted(ENTRY)), value=json_values)
-def test_a_field_of_any_value_never_raises(field: str, value: Any) -> None:
+def test_arbitrary_field_values_never_raise(field: str, value: Any) -> None:
     reader = Reader()
     reader.list(("i-1", ENTRY), ("i-2", change(ENTRY, **{field: value})))
     assert "i-1" in reader.serving()
@@ -115,27 +117,27 @@
         assert target.host
 
 
-def test_an_older_bad_entry_does_not_replace_a_newer_good_one() -> None:
+def test_an_older_invalid_entry_does_not_replace_a_newer_valid_one() -> None:
     reader = Reader()
     reader.list(("i-1", ENTRY), ("i-1", ENTRY))
-    late = KeyedRecord("i-1", b"junk", Offset(0))
-    reader.view.apply_targets(RecordBatch([late], Offset(1), Seconds(0.0)), False)
+    older = KeyedRecord("i-1", b"junk", Offset(0))
+    reader.view.apply_targets(RecordBatch([older], Offset(1), Seconds(0.0)), False)
     assert reader.serving() == {"i-1"}
 
 
-def test_an_older_good_entry_does_not_come_back_after_a_bad_one() -> None:
+def test_an_older_valid_entry_does_not_replace_a_newer_invalid_one() -> None:
     reader = Reader()
     reader.list(("i-1", ENTRY), ("i-1", {}))
-    late = KeyedRecord("i-1", encode(ENTRY), Offset(0))
-    reader.view.apply_targets(RecordBatch([late], Offset(1), Seconds(0.0)), False)
+    older = KeyedRecord("i-1", encode(ENTRY), Offset(0))
+    reader.view.apply_targets(RecordBatch([older], Offset(1), Seconds(0.0)), False)
     assert reader.serving() == set()
 
 
-def test_others_are_told_that_an_entry_cannot_be_used() -> None:
-    """Who reads from this process hears of the bad entry as well."""
+def test_invalid_entries_are_forwarded_to_other_readers() -> None:
+    """A process that reads from this process receives the invalid entry as well."""
     reader, other = Reader(), Reader()
-    for each in (reader, other):
-        each.list(("i-1", ENTRY))
+    for view_reader in (reader, other):
+        view_reader.list(("i-1", ENTRY))
     reader.read_raw(Topic.TARGETS, [raw_record(b"i-1", b"\xff\xfe")])
     shared = reader.view.record_server.topics[Topic.TARGETS].records_since(Offset(0))
     other.view.apply_targets(
@@ -144,7 +146,7 @@
     assert other.serving() == set()
 
 
-def test_a_service_that_no_configuration_names_is_logged_and_gets_nothing() -> None:
+def test_an_entry_of_an_unconfigured_service_is_logged_and_not_served() -> None:
     reader = Reader()
     reader.decide(CONFIG_KEY, make_config(1))
     reader.list(("i-1", ENTRY), ("i-2", change(ENTRY, service="nobody")))
@@ -162,7 +164,7 @@
     assert reader.serving() == {"i-1"}
 
 
-def test_a_bad_key_is_logged_once_and_counted_each_time() -> None:
+def test_an_invalid_entry_is_logged_once_per_key_and_counted_each_time() -> None:
     reader = Reader()
     for number in range(50):
         reader.list(("i-1", {"number": number}))
@@ -170,12 +172,12 @@
     assert reader.events.metrics.counters["records_rejected_targets"] == 50
 
 
-def test_neither_log_nor_memory_grows_with_bad_entries() -> None:
+def test_log_and_memory_stay_bounded_with_many_invalid_entries() -> None:
     reader = Reader()
     reader.list(("i-good", ENTRY))
     for start in range(0, 20_000, 1000):
         reader.list(*((f"x-{start + n}", {"a": "b" * 500}) for n in range(1000)))
-    assert len(reader.events.bad()) <= LINES_ALLOWED
+    assert len(reader.events.bad()) <= MAX_LOG_LINES
     assert reader.events.metrics.counters["records_rejected_targets"] == 20_000
     assert reader.serving() == {"i-good"}
     topic = reader.view.record_server.topics[Topic.TARGETS]
@@ -184,7 +186,7 @@
     assert sum(len(record.value) for record in topic.records.values()) < 1000
 
 
-def test_others_still_hear_of_a_target_that_left_behind_many_bad_entries() -> None:
+def test_a_removal_is_forwarded_despite_many_later_invalid_entries() -> None:
     reader = Reader()
     reader.list(("i-1", ENTRY))
     reader.read(Topic.TARGETS, (b"i-1", b""))
@@ -194,14 +196,14 @@
     assert "i-1" in {record.key for record in shared.records}
 
 
-def test_what_is_logged_of_a_value_is_short() -> None:
+def test_log_lines_of_invalid_entries_are_short() -> None:
     reader = Reader()
     reader.list(("i-1", change(ENTRY, state="x" * 100_000)))
     (line,) = reader.events.bad()
     assert len(encode(line)) < 1000
 
 
-def test_a_target_is_removed_by_an_empty_value_alone() -> None:
+def test_an_empty_value_removes_a_target_without_a_log_line() -> None:
     reader = Reader()
     reader.list(("i-1", ENTRY))
     reader.read(Topic.TARGETS, (b"i-1", b""))
--- a/tests/platform/test_gateway_lists.py
+++ b/tests/platform/test_gateway_lists.py
@@ -1,4 +1,4 @@
-"""What it costs that gateways learn of each other, when all start or start again."""
+"""Traffic of announcing gateways to each other when all start or restart."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -16,10 +16,10 @@
 from ridgecourse.wire.control import PROTOCOL_VERSION, EngineReport, Watch
 
 PEER_BYTES = 130
-"""Of one gateway's entry in a message."""
-ENTRIES = 2
-"""Entries that a watcher may get for each gateway that comes: one is needed, and some
-come while others are still gathered."""
+"""Size of one gateway's entry in a message."""
+ENTRIES_PER_GATEWAY = 2
+"""Entries that a watcher may receive for each gateway that connects: 1 is needed, and
+some gateways connect while the changes of others are still being batched."""
 
 
 class Channel:
@@ -32,14 +32,14 @@
 
     def send(self, message: Any) -> None:
         if self.closed:
-            raise ChannelClosed("the test ended it")
+            raise ChannelClosed("the test closed the channel")
         if not isinstance(message, EngineReport):
             self.bytes += len(encode_message(message))
             self.messages.append(message)
 
 
-class Site:
-    """A loader's feed, and gateways that watch it."""
+class WatchedLoader:
+    """A loader's status feed with gateways that watch it."""
 
     def __init__(self) -> None:
         rollout = Mock()
@@ -48,26 +48,26 @@
         self.feed = StatusFeed(Mock(), rollout, gateways, Mock())
         self.threads: dict[Channel, eventlet.greenthread.GreenThread] = {}
 
-    def watch(self, number: int, **more: Any) -> Channel:
-        """Let a gateway watch."""
+    def watch(self, number: int, **options: Any) -> Channel:
+        """Connect a gateway as a watcher."""
         host = f"10.1.{number // 250}.{number % 250}"
         name, domain = TargetName(host), DomainName("ahead-of-the-hills-a")
         peer = Peer(name, domain, f"{host}:7001", f"{host}:7000", 2_500_000.0)
         process = ProcessName(f"edge-{number}")
-        watch = Watch(PROTOCOL_VERSION, process, True, peer, f"{host}:7000", **more)
+        watch = Watch(PROTOCOL_VERSION, process, True, peer, f"{host}:7000", **options)
         channel = Channel()
-        self.threads[channel] = eventlet.spawn(self.tell, channel, watch)
+        self.threads[channel] = eventlet.spawn(self.serve, channel, watch)
         eventlet.sleep(0)
         return channel
 
-    def tell(self, channel: Channel, watch: Watch) -> None:
+    def serve(self, channel: Channel, watch: Watch) -> None:
         try:
             self.feed.serve_watcher(channel, watch)
         except ChannelClosed:
             return
 
-    def leave(self, channel: Channel) -> None:
-        """Let a gateway go away."""
+    def disconnect(self, channel: Channel) -> None:
+        """Disconnect a gateway."""
         self.threads.pop(channel).kill()
         eventlet.sleep(0)
 
@@ -77,44 +77,46 @@
 
 
 @pytest.fixture
-def site() -> Iterator[Site]:
-    made = Site()
-    yield made
-    made.close()
+def site() -> Iterator[WatchedLoader]:
+    loader = WatchedLoader()
+    yield loader
+    loader.close()
 
 
-def settle() -> None:
-    """Let everything be told that is gathered."""
+def wait_for_announcements() -> None:
+    """Wait until all batched changes are announced."""
     eventlet.sleep(1.0)
 
 
 @pytest.mark.parametrize("count", [6, 39, 120])
-def test_a_start_of_all_tells_each_gateway_of_each_other_once(
-    site: Site, count: int
+def test_a_simultaneous_start_announces_each_gateway_about_once(
+    site: WatchedLoader, count: int
 ) -> None:
     channels = [site.watch(number) for number in range(count)]
-    settle()
+    wait_for_announcements()
     for channel in channels:
-        assert channel.bytes <= ENTRIES * PEER_BYTES * count + PEER_BYTES
+        assert channel.bytes <= ENTRIES_PER_GATEWAY * PEER_BYTES * count + PEER_BYTES
 
 
 @pytest.mark.parametrize("count", [6, 39, 120])
-def test_a_restart_in_turn_costs_what_changed(site: Site, count: int) -> None:
+def test_a_rolling_restart_announces_only_changes(
+    site: WatchedLoader, count: int
+) -> None:
     channels = [site.watch(number) for number in range(count)]
-    settle()
-    stays, before = channels[0], channels[0].bytes
+    wait_for_announcements()
+    first, bytes_before = channels[0], channels[0].bytes
     for number, channel in enumerate(channels[1:], start=1):
-        site.leave(channel)
+        site.disconnect(channel)
         site.watch(number)
-    settle()
-    assert stays.bytes - before <= ENTRIES * PEER_BYTES * count
+    wait_for_announcements()
+    assert first.bytes - bytes_before <= ENTRIES_PER_GATEWAY * PEER_BYTES * count
 
 
-def test_a_single_change_is_told_at_once(site: Site) -> None:
+def test_a_single_change_is_announced_at_once(site: WatchedLoader) -> None:
     first = site.watch(1)
     eventlet.sleep(0.01)
-    before = len(first.messages)
+    messages_before = len(first.messages)
     site.watch(2)
     eventlet.sleep(0.05)
     assert [peer.name for peer in first.messages[-1].came] == ["10.1.0.2"]
-    assert len(first.messages) == before + 1
+    assert len(first.messages) == messages_before + 1
