--- a/tests/platform/test_hubs.py
+++ b/tests/platform/test_hubs.py
@@ -1,4 +1,4 @@
-"""One hub a domain draws a version; the next in line takes over from it."""
+"""One hub per domain fetches a version; a standby hub takes over when it fails."""
 
 from collections.abc import Callable, Iterator
 from hashlib import sha256
@@ -44,38 +44,38 @@
 
 
 @given(st.integers(1, 12), st.integers(1, 4))
-def test_a_gateway_that_is_no_hub_copies_from_the_one_that_is(
+def test_other_gateways_copy_from_the_hub_of_their_domain(
     count: int, domains: int
 ) -> None:
     gateways = make_gateways(count, domains)
     hubs = choose_hubs(KEY, gateways)
-    for me in gateways:
-        plan = plan_hubs(KEY, gateways, me)
+    for local in gateways:
+        plan = plan_hubs(KEY, gateways, local)
         assert plan.hubs == hubs
-        assert me.name not in plan.sources(me)
-        assert all(peer.domain == me.domain for peer in plan.local_gateways)
-        if me not in hubs:
-            hub = next(hub for hub in hubs if hub.domain == me.domain)
+        assert local.name not in plan.sources(local)
+        assert all(peer.domain == local.domain for peer in plan.local_gateways)
+        if local not in hubs:
+            hub = next(hub for hub in hubs if hub.domain == local.domain)
             assert plan.local_gateways[0] == hub
 
 
 @given(st.integers(2, 12))
-def test_the_next_in_line_is_the_hub_once_the_first_has_gone(count: int) -> None:
+def test_the_standby_becomes_the_hub_when_the_hub_is_gone(count: int) -> None:
     gateways = make_gateways(count, 1)
     (hub,) = choose_hubs(KEY, gateways)
-    successor = plan_hubs(KEY, gateways, hub).local_gateways[0]
-    left = [gateway for gateway in gateways if gateway != hub]
-    assert list(choose_hubs(KEY, left)) == [successor]
+    standby = plan_hubs(KEY, gateways, hub).local_gateways[0]
+    remaining = [gateway for gateway in gateways if gateway != hub]
+    assert list(choose_hubs(KEY, remaining)) == [standby]
 
 
-def test_few_chunks_are_drawn_from_the_origin_at_a_time() -> None:
+def test_concurrent_fetches_from_the_origin_are_limited() -> None:
     policy = PlanPolicy(origin_fetches=3)
     planner = make_planner(HUBS[0], HUBS[:1], policy)
     assert len(list(planner.plan(Seconds(0.1)))) == 3
     assert list(planner.plan(Seconds(0.1))) == []
 
 
-def test_a_loader_without_a_hub_in_its_domain_follows_those_elsewhere() -> None:
+def test_a_loader_without_a_local_hub_fetches_from_remote_hubs() -> None:
     hubs = [hub for hub in HUBS if hub.domain != "a"]
     planner = make_planner(Member(TargetName("loader"), DomainName("a")), hubs)
     assert set(planner.neighbours()) == {hub.target for hub in hubs}
@@ -84,14 +84,14 @@
     assert {fetch.source for fetch in fetches} == {TargetName("hub-b")}
 
 
-class MeddlingOrigin(WeightsOrigin):
-    """An origin in whose calls something else happens."""
+class CallbackOrigin(WeightsOrigin):
+    """An origin that runs a callback during each manifest request."""
 
-    def __init__(self, happens: Callable[[], None]) -> None:
-        self.happens = happens
+    def __init__(self, on_manifest: Callable[[], None]) -> None:
+        self.on_manifest = on_manifest
 
     def manifest(self, address, model, version) -> Manifest:
-        self.happens()
+        self.on_manifest()
         digests = tuple(ChunkDigest(f"{n:064x}") for n in range(4))
         return Manifest(8, (FileEntry("weights", 32, digests),))
 
@@ -99,37 +99,37 @@
         raise OriginUnavailable("not asked in this test")
 
 
-class Newcomer(HttpStandIn):
-    """A gateway that comes while another one brings a version in."""
+class LateGateway(HttpStandIn):
+    """A gateway that starts while another one fetches a version."""
 
     def answer(self, method: str, path: str, query: dict[str, str], body: bytes) -> Any:
         return 404, b""
 
 
-def test_a_gateway_that_comes_meanwhile_is_asked_as_well() -> None:
-    newcomer = Newcomer()
-    newcomer.start()
-    peer = Peer(TargetName("127.0.0.9"), DomainName("a"), newcomer.address, "x:1")
+def test_a_gateway_that_starts_during_a_fetch_is_asked_for_the_version() -> None:
+    late_gateway = LateGateway()
+    late_gateway.start()
+    peer = Peer(TargetName("127.0.0.9"), DomainName("a"), late_gateway.address, "x:1")
     site = make_site(convert(make_settings("127.0.0.1:1"), SiteFields))
     events = EventStream(site.process, new_incarnation(), site.domain)
     view = ClusterView(Mock(), Mock(), Mock(), events, 8.0)
     view.config = Mock(origin=Mock(address="127.0.0.1:1", domain="a", bytes_per_s=0.0))
-    origin = MeddlingOrigin(lambda: hub.record_gateways("loader", [peer]))
+    origin = CallbackOrigin(lambda: hub.record_gateways("loader", [peer]))
     hub = Hub(site, view, events, origin, HttpClient())
     hub.request_version((ModelName(MODEL), WeightsVersion(2)))
     try:
         with eventlet.Timeout(10):
-            while not newcomer.calls:
+            while not late_gateway.calls:
                 eventlet.sleep(0.01)
     finally:
         for thread in hub.fetching.values():
             thread.kill()
-        newcomer.close()
-    assert newcomer.calls[0] == ("GET", f"/versions/{MODEL}/2")
+        late_gateway.close()
+    assert late_gateway.calls[0] == ("GET", f"/versions/{MODEL}/2")
 
 
 def make_hub(*gateways: Peer) -> Hub:
-    """Return a hub of domain "a" that a loader told of other gateways."""
+    """Return a hub of domain "a" to which a loader announced other gateways."""
     site = make_site(convert(make_settings("127.0.0.1:1"), SiteFields))
     events = EventStream(site.process, new_incarnation(), site.domain)
     view = ClusterView(Mock(), Mock(), Mock(), events, 8.0)
@@ -143,7 +143,7 @@
         thread.kill()
 
 
-def test_a_named_version_is_drawn_before_any_loader_asks() -> None:
+def test_a_named_version_is_prefetched_without_a_request() -> None:
     hub = make_hub()
     model, now = ModelName(MODEL), Seconds(monotonic())
     hub.view.history(model).record_version(WeightsVersion(2), now, now)
@@ -155,7 +155,7 @@
     end_work(hub)
 
 
-def test_a_gateway_that_knows_no_other_yet_waits_until_it_is_asked() -> None:
+def test_a_gateway_without_known_peers_does_not_prefetch() -> None:
     hub = make_hub()
     hub.forget_loader("loader")
     hub.record_gateways("a loader elsewhere", [])
@@ -165,19 +165,19 @@
     assert not hub.fetching
 
 
-def test_a_named_version_is_left_to_the_widest_gateways() -> None:
-    wide = [
+def test_only_the_gateways_with_the_most_bandwidth_prefetch() -> None:
+    wide_peers = [
         Peer(TargetName(f"127.0.0.{n}"), DomainName("a"), "x:1", "x:2", 1e12)
         for n in (8, 9)
     ]
-    hub = make_hub(*wide)
+    hub = make_hub(*wide_peers)
     model, now = ModelName(MODEL), Seconds(monotonic())
     hub.view.history(model).record_version(WeightsVersion(2), now, now)
     hub.fetch_announced()
     assert not hub.fetching
 
 
-def test_a_version_named_long_ago_waits_until_it_is_asked_for() -> None:
+def test_a_version_named_long_ago_is_not_prefetched() -> None:
     hub = make_hub()
     model, now = ModelName(MODEL), Seconds(monotonic())
     hub.view.history(model).record_version(WeightsVersion(2), now, Seconds(now - 9.0))
@@ -191,8 +191,8 @@
 
     seeds = ("127.0.0.9:1", "127.0.0.2:1", "127.0.0.3:1")
 
-    def __init__(self, directory: Path, **more: bool) -> None:
-        super().__init__(directory, **more)
+    def __init__(self, directory: Path, **options: bool) -> None:
+        super().__init__(directory, **options)
         self.directory = directory
         self.places: dict[str, ManagedProcess] = {}
         for number in (2, 3):
@@ -221,7 +221,7 @@
         self.loader.wait_event("gateways-known", detail={"gateways": list(self.places)})
 
     def restart_gateways(self) -> None:
-        """Start the gateways once more; it is not the first start of all."""
+        """Restart the gateways without the setting of a very first start."""
         for host, gateway in self.places.items():
             path = self.directory / f"{host}.json"
             path.write_bytes(encode({**decode(path.read_bytes()), "bootstrap": False}))
@@ -230,7 +230,7 @@
             gateway.wait_event("target-listed", after=1)
 
     def ranked(self) -> list[str]:
-        """Return the gateways' hosts, the hub of the second version first."""
+        """Return the hosts of the gateways, with the hub of version 2 first."""
         peers = [
             Peer(TargetName(host), DomainName("a"), "x", "x") for host in self.places
         ]
@@ -238,21 +238,21 @@
         return sorted(self.places, key=lambda host: host != hub.name)
 
     def ask(self, host: str, version: int = 2) -> None:
-        """Ask a gateway for a version, as a loader does."""
+        """Request a version from a gateway, as a loader does."""
         path = f"/versions/{MODEL}/{version}"
         HttpClient().fetch("GET", f"{host}:{self.ports[0] + 1}", path)
 
-    def wait_whole(self, version: int) -> None:
+    def wait_complete(self, version: int) -> None:
         """Wait until the loader holds all chunks of a version."""
         digests = [sha256(c).hexdigest() for c in self.origin.versions[version]]
-        self.wait_chunks("127.0.0.1", digests, CHUNKS)
+        self.wait_for_chunks("127.0.0.1", digests, CHUNKS)
 
-    def wait_holding(self, host: str, version: int, chunks: int) -> None:
-        """Wait until a gateway holds some chunks of a version."""
+    def wait_for_version_chunks(self, host: str, version: int, chunks: int) -> None:
+        """Wait until a process holds a number of chunks of a version."""
         digests = [sha256(c).hexdigest() for c in self.origin.versions[version]]
-        self.wait_chunks(host, digests, chunks)
+        self.wait_for_chunks(host, digests, chunks)
 
-    def lacking(self, host: str, version: int) -> list[str]:
+    def missing_digests(self, host: str, version: int) -> list[str]:
         """Return the digests of a version's chunks that a process does not hold."""
         address, http = f"{host}:{self.ports[0] + 1}", HttpClient()
         digests = [sha256(c).hexdigest() for c in self.origin.versions[version]]
@@ -262,8 +262,8 @@
             if http.fetch("GET", address, f"/chunks/{digest}")[0] == 404
         ]
 
-    def wait_chunks(self, host: str, digests: list[str], chunks: int) -> None:
-        """Wait until a process holds some of the chunks with these digests."""
+    def wait_for_chunks(self, host: str, digests: list[str], chunks: int) -> None:
+        """Wait until a process holds a number of the chunks with these digests."""
         address = f"{host}:{self.ports[0] + 1}"
         http = HttpClient()
         held: set[str] = set()
@@ -288,34 +288,34 @@
     site.close()
 
 
-def test_two_gateways_that_are_asked_draw_one_copy(hub_site) -> None:
+def test_two_requested_gateways_fetch_one_copy(hub_site) -> None:
     hub_site.start()
-    drawn = chunk_calls(hub_site)
+    calls_before = chunk_calls(hub_site)
     hub_site.store.put_version(MODEL, 2)
     for host in hub_site.places:
         hub_site.ask(host)
     for gateway in hub_site.places.values():
         gateway.wait_event("version-complete", version="2")
     hub_site.wait_serving(2)
-    assert chunk_calls(hub_site) == drawn + CHUNKS
+    assert chunk_calls(hub_site) == calls_before + CHUNKS
 
 
-def test_the_next_in_line_holds_what_a_lost_hub_held(hub_site) -> None:
+def test_the_standby_holds_the_version_of_a_killed_hub(hub_site) -> None:
     hub_site.start()
-    hub, successor = hub_site.ranked()
+    hub, standby = hub_site.ranked()
     hub_site.ask(hub)
-    hub_site.places[successor].wait_event("version-complete", version="2")
-    drawn = chunk_calls(hub_site)
+    hub_site.places[standby].wait_event("version-complete", version="2")
+    calls_before = chunk_calls(hub_site)
     hub_site.places[hub].kill()
     hub_site.store.put_version(MODEL, 2)
     hub_site.wait_serving(2)
-    assert chunk_calls(hub_site) == drawn
+    assert chunk_calls(hub_site) == calls_before
 
 
-def test_a_new_hub_is_asked_for_a_version_that_is_on_its_way(hub_site) -> None:
+def test_the_standby_completes_a_fetch_that_a_killed_hub_started(hub_site) -> None:
     hub_site.origin.versions[2] = make_chunks(2)
     hub_site.start()
-    hub, successor = hub_site.ranked()
+    hub, standby = hub_site.ranked()
     hub_site.origin.hold_after = 0
     hub_site.store.put_version(MODEL, 2)
     hub_site.loader.wait_event("rollout-phase", version="2")
@@ -323,10 +323,12 @@
     hub_site.places[hub].kill()
     hub_site.origin.release()
     hub_site.wait_serving(2)
-    hub_site.places[successor].wait_event("version-complete", version="2")
+    hub_site.places[standby].wait_event("version-complete", version="2")
 
 
-def test_what_is_nearly_here_is_finished_before_a_newer_version(hub_site) -> None:
+def test_a_nearly_complete_fetch_finishes_before_a_newer_version_starts(
+    hub_site,
+) -> None:
     hub_site.start()
     hub, _ = hub_site.ranked()
     origin = hub_site.origin
@@ -336,19 +338,19 @@
         hub_site.ask(host)
     origin.wait_until(lambda: origin.sent == origin.hold_after)
     for host in hub_site.places:
-        hub_site.wait_holding(host, 2, CHUNKS - 4)
+        hub_site.wait_for_version_chunks(host, 2, CHUNKS - 4)
     hub_site.store.put_version(MODEL, 3)
     for host in hub_site.places:
         hub_site.ask(host, 3)
     hub_site.places[hub].wait_event("version-named", version="3")
     origin.release()
     hub_site.wait_serving(3)
-    drawn = [call for _, call in origin.calls if "/piece/" in call]
-    versions = [call.rpartition("=")[2] for call in drawn]
+    chunk_targets = [target for _, target in origin.calls if "/piece/" in target]
+    versions = [target.rpartition("=")[2] for target in chunk_targets]
     assert versions == sorted(versions)
 
 
-def test_an_origin_that_goes_away_halfway_sends_each_chunk_once(hub_site) -> None:
+def test_each_chunk_is_sent_once_despite_an_origin_outage(hub_site) -> None:
     hub_site.start()
     origin = hub_site.origin
     sent = origin.sent
@@ -356,7 +358,7 @@
     hub_site.store.put_version(MODEL, 2)
     origin.wait_until(lambda: origin.sent == sent + CHUNKS - 4)
     origin.away = True
-    # What was under way when it went away still comes.
+    # Chunks in flight at the start of the outage still arrive.
     origin.release()
     origin.wait_until(lambda: origin.turned_away > 2)
     origin.away = False
@@ -364,18 +366,18 @@
     assert origin.sent == sent + CHUNKS
 
 
-def test_a_gateway_that_stops_leaves_its_part_to_the_next(hub_site) -> None:
+def test_the_standby_takes_over_from_a_stopped_hub(hub_site) -> None:
     hub_site.start()
-    hub, successor = hub_site.ranked()
+    hub, standby = hub_site.ranked()
     hub_site.places[hub].running.terminate()
-    hub_site.loader.wait_event("gateways-known", detail={"gateways": [successor]})
+    hub_site.loader.wait_event("gateways-known", detail={"gateways": [standby]})
     hub_site.store.put_version(MODEL, 2)
     hub_site.wait_serving(2)
-    hub_site.places[successor].wait_event("version-complete", version="2")
+    hub_site.places[standby].wait_event("version-complete", version="2")
     assert hub_site.places[hub].running.wait(10) == 0
 
 
-def test_the_first_version_is_taken_from_the_engines_of_the_domain(hub_site) -> None:
+def test_the_first_version_is_fetched_from_the_engines_of_the_domain(hub_site) -> None:
     chunks = hub_site.origin.versions[1]
     hub_site.engine.staged = dict(enumerate(chunks))
     hub_site.engine.version = 1
@@ -386,7 +388,7 @@
     assert chunk_calls(hub_site) == 0
 
 
-def test_weights_are_on_their_way_before_the_engine_is_there(tmp_path) -> None:
+def test_weights_are_transferred_before_the_engine_starts(tmp_path) -> None:
     site = HubSite(tmp_path, engine_started=False)
     try:
         site.store.put_config(site.config())
@@ -396,7 +398,7 @@
         site.loader.start()
         transfer = {"phase": "transfer", "error": ""}
         site.loader.wait_event("rollout-phase", 20, version="1", detail=transfer)
-        site.wait_whole(1)
+        site.wait_complete(1)
         assert site.engine.calls == []
         site.engine.start()
         site.wait_serving(1)
--- a/tests/platform/test_late_callers.py
+++ b/tests/platform/test_late_callers.py
@@ -1,4 +1,4 @@
-"""What a gateway does with callers that are late in any case, at full engines."""
+"""Load shedding of requests that will be late, at full engines."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -14,13 +14,13 @@
 from ridgecourse_standins.platform.loader import IDLE_STATUS, LoaderStandIn
 
 ENGINE = "127.0.0.5"
-STREAM = ("Model: m0", "Token-Usage: 100,50")
-FULL = {"active": 15}
-"""Of 16 slots: one is free, and nothing waits."""
+STREAM_HEADERS = ("Model: m0", "Token-Usage: 100,50")
+ALMOST_FULL = {"active": 15}
+"""Load with 1 of 16 slots free and no request waiting."""
 
 
 class LoadedSite(GatewaySite):
-    """A gateway with one engine, whose load the test sets."""
+    """A gateway with one engine whose load the test sets."""
 
     def __init__(self, directory: Path) -> None:
         super().__init__(directory)
@@ -32,23 +32,23 @@
         self.loader.start()
         super().start(config)
         self.wait_until(lambda: self.loader.connection_count > 0)
-        # So many say how long callers usually have.
+        # The usual client timeout is estimated from this many requests.
         for _ in range(MIN_SAMPLE_SIZE):
             assert self.call(6000)[0] == 200
 
-    def call(self, deadline_ms: int, *more: str) -> Answer:
+    def call(self, deadline_ms: int, *headers: str) -> Answer:
         return self.ask(
             "/stream/x",
             method="POST",
-            extra=(*STREAM, *more),
+            extra=(*STREAM_HEADERS, *headers),
             deadline_ms=deadline_ms,
         )
 
-    def set_load(self, **more: int) -> None:
-        """Let the engine be so full, once the gateway has been told."""
-        self.loader.status = structs.replace(IDLE_STATUS, **more)
+    def set_load(self, **load: int) -> None:
+        """Set the load of the engine and wait until it is reported to the gateway."""
+        self.loader.status = structs.replace(IDLE_STATUS, **load)
         self.wait_until(lambda: self.loader.last_reported is self.loader.status)
-        # What was told is on its way for some milliseconds.
+        # The report is in transit for some milliseconds.
         sleep(0.1)
 
     def close(self) -> None:
@@ -63,11 +63,11 @@
     site.close()
 
 
-def test_a_full_engine_serves_who_can_be_in_time_and_refuses_who_is_late(
+def test_a_full_engine_refuses_requests_that_will_be_late(
     loaded,
 ) -> None:
     loaded.start()
-    loaded.set_load(**FULL)
+    loaded.set_load(**ALMOST_FULL)
     assert loaded.call(6000)[0] == 200
     status, headers, _, _ = loaded.call(4000)
     assert status == 503
@@ -77,13 +77,13 @@
     assert len(loaded.engines[0].requests) == MIN_SAMPLE_SIZE + 1
 
 
-def test_who_is_late_in_any_case_is_served_where_there_is_room(loaded) -> None:
+def test_late_requests_are_served_by_idle_engines(loaded) -> None:
     loaded.start()
     assert loaded.call(4000)[0] == 200
 
 
-def test_who_goes_on_with_a_stream_is_not_late(loaded) -> None:
+def test_a_resumed_stream_is_not_refused_as_late(loaded) -> None:
     loaded.start()
-    loaded.set_load(**FULL)
+    loaded.set_load(**ALMOST_FULL)
     assert loaded.call(4000)[0] == 503
     assert loaded.call(4000, "Last-Event-Id: 1")[0] == 200
--- a/tests/platform/test_late_hubs.py
+++ b/tests/platform/test_late_hubs.py
@@ -1,14 +1,14 @@
-"""A hub that starts with nothing takes what the loaders of its domain hold.
+"""A hub that starts without chunks fetches those that loaders of its domain hold.
 
-What happened: two thirds of the gateways were killed at 29.6 s, the hubs of two domains
-and their successors among them. Each of 28 loaders there held 41 to 44 of 64 chunks of
-the version that was required. The new hub of one domain had none of 64 and nothing in
-flight from 31.7 to 37.2 s and more; the loaders lacked the same 20 to 23 all that time.
-
-Why: a hub followed other hubs alone. Those told which chunks anybody had ever held, so
-that it drew none of them from the origin, and none of the living held them but the
-loaders beside it. With loaders followed as well the same happened once more: they told
-what they had seen at the hub that was gone.
+The tests guard against this failure: after the hubs of a domain and their standbys are
+killed, the new hub follows only other hubs. Those announce which chunks any process has
+ever held, so the new hub fetches none of these from the origin, although only the
+loaders in its domain still hold them. In the failing run two thirds of the gateways
+were killed at 29.6 s, among them the hubs of two domains. Each of 28 loaders there held
+41 to 44 of the 64 chunks of the required version and lacked the same 20 to 23 from 31.7
+to 37.2 s and longer, while the new hub of one domain held none of the 64 and had no
+fetch in flight. The failure also occurs if the hub follows loaders that still announce
+the chunks they saw at the lost hub.
 """
 
 from collections.abc import Iterator
@@ -18,24 +18,24 @@
 import pytest
 from gateway_site import MODEL
 from test_hubs import HubSite
-from test_kept_transfers import NarrowSite
+from test_kept_transfers import NarrowLinkSite
 from test_loader import CHUNKS
 
-LEFT_CHUNKS = 4
-AGED_SECONDS = 3.2
-"""For which a version is named before loaders are asked for it."""
+UNSENT_CHUNKS = 4
+LOADER_REQUEST_AGE_SECONDS = 3.2
+"""Time since its name from which a version is requested from loaders."""
 
 
-HELD_CHUNKS = 4
-"""At a loader behind a narrow link when the hub is whole and killed."""
-DRAWN_SECONDS = 3.0
-"""For new hubs to have what no loader holds once the origin answers. With the fault
-they wait 4.5 s before they draw anything."""
+LOADER_CHUNKS = 4
+"""Chunks at a loader on a narrow link when the complete hub is killed."""
+REFETCH_SECONDS = 3.0
+"""Time for new hubs to fetch the chunks that no loader holds, from when the origin
+answers. With the failure they wait 4.5 s before the first fetch."""
 
 
 @pytest.fixture
-def narrow(tmp_path: Path) -> Iterator[NarrowSite]:
-    site = NarrowSite(tmp_path)
+def narrow(tmp_path: Path) -> Iterator[NarrowLinkSite]:
+    site = NarrowLinkSite(tmp_path)
     yield site
     site.close()
 
@@ -47,41 +47,41 @@
     site.close()
 
 
-def test_new_hubs_have_what_loaders_hold_while_the_origin_is_away(hub_site) -> None:
+def test_new_hubs_fetch_from_loaders_during_an_origin_outage(hub_site) -> None:
     hub_site.start()
     origin = hub_site.origin
-    origin.hold_after = origin.sent + CHUNKS - LEFT_CHUNKS
+    origin.hold_after = origin.sent + CHUNKS - UNSENT_CHUNKS
     hub_site.store.put_version(MODEL, 2)
-    hub_site.wait_holding("127.0.0.1", 2, CHUNKS - LEFT_CHUNKS)
+    hub_site.wait_for_version_chunks("127.0.0.1", 2, CHUNKS - UNSENT_CHUNKS)
     origin.away = True
     origin.release()
     for gateway in hub_site.places.values():
         gateway.kill()
-    # No event tells that a version is old enough: it is the time itself that matters.
-    sleep(AGED_SECONDS)
+    # No event announces that a version is old enough; only the time counts.
+    sleep(LOADER_REQUEST_AGE_SECONDS)
     hub_site.restart_gateways()
     hub, _ = hub_site.ranked()
-    hub_site.wait_holding(hub, 2, CHUNKS - LEFT_CHUNKS)
+    hub_site.wait_for_version_chunks(hub, 2, CHUNKS - UNSENT_CHUNKS)
     origin.away = False
     hub_site.wait_serving(2)
 
 
-def test_what_loaders_saw_at_a_lost_hub_is_drawn_again_at_once(narrow) -> None:
+def test_chunks_that_loaders_saw_at_a_lost_hub_are_refetched_at_once(narrow) -> None:
     narrow.start()
     narrow.store.put_version(MODEL, 2)
     for host in narrow.places:
-        narrow.wait_holding(host, 2, CHUNKS)
-    narrow.wait_holding("127.0.0.1", 2, HELD_CHUNKS)
+        narrow.wait_for_version_chunks(host, 2, CHUNKS)
+    narrow.wait_for_version_chunks("127.0.0.1", 2, LOADER_CHUNKS)
     origin = narrow.origin
     origin.away = True
     for gateway in narrow.places.values():
         gateway.kill()
-    sleep(AGED_SECONDS)
-    lacking = narrow.lacking("127.0.0.1", 2)
+    sleep(LOADER_REQUEST_AGE_SECONDS)
+    missing_digests = narrow.missing_digests("127.0.0.1", 2)
     narrow.restart_gateways()
     origin.away = False
-    begun = monotonic()
+    started_at = monotonic()
     hub, _ = narrow.ranked()
-    # The others come over the loader's link, as fast as that is.
-    narrow.wait_chunks(hub, lacking, len(lacking))
-    assert monotonic() - begun < DRAWN_SECONDS
+    # The other chunks come over the narrow link of the loader.
+    narrow.wait_for_chunks(hub, missing_digests, len(missing_digests))
+    assert monotonic() - started_at < REFETCH_SECONDS
--- a/tests/platform/test_left_versions.py
+++ b/tests/platform/test_left_versions.py
@@ -1,16 +1,16 @@
-"""Engines without weights for 6 s, though a version was nine tenths there all along.
-
-Version 2 was named at 18.0 s, version 3 at 21.0 s, each required 10 s later. The origin
-was away from 20.5 to 26.5 s. Of version 2 hubs had 87 of 96 chunks by 21.2 s, and each
-of 41 loaders 69 or more. Gateways stopped in turn from 22.4 s on. Each time one of them
-was a hub all loaders began their transfer anew, and at 22.8 s they began with version
-3 instead, of which there was no chunk before 27.9 s. What they had of version 2 was
-used for nothing: no engine ever took it, and from 28.0 s on, when version 1 could no
-longer be used, until 34.7 s no engine served.
-
-What settled it: `rollout-phase` names version 3 at 22.84 to 23.48 s in 33 loaders, at
-25 to 27 missing chunks of version 2 (9 in three of them), with no `rollout-dropped` in
-between; `manifest-unavailable` for version 3 follows in all of them until 27.2 s.
+"""Whether a nearly complete version is finished when its hub fails.
+
+The tests guard against this failure: when a hub stops, its loaders restart their
+transfers with the newest version, although an older one is nearly complete and the
+newest one is not available yet. In the failing run version 2 was named at 18.0 s and
+version 3 at 21.0 s, each required 10 s later, and the origin failed from 20.5 to
+26.5 s. Hubs held 87 of 96 chunks of version 2 by 21.2 s, and each of 41 loaders held 69
+or more. Gateways stopped one after the other from 22.4 s on, and all loaders restarted
+their transfers at 22.8 s when a hub stopped. Between 22.84 and 23.48 s, 33 loaders
+started version 3 with 25 to 27 chunks of version 2 missing (9 in 3 of them), without a
+`rollout-dropped` event. No chunk of version 3 was available before 27.9 s, and its
+manifest was unavailable until 27.2 s. No engine ever loaded version 2, and none served
+any version from 28.0 s, the bound of version 1, until 34.7 s, for more than 6 s.
 """
 
 from collections.abc import Iterator
@@ -33,9 +33,9 @@
     takes_precedence,
 )
 
-APART_SECONDS = 1.5
-"""Between the names of two versions. The first may be served for as long after the one
-before; for less than half a second it is worth no change of weights."""
+NAME_GAP_SECONDS = 1.5
+"""Time between naming two versions. The first may be served for as long after its
+predecessor; for less than 0.5 s a switch of weights is not worthwhile."""
 
 
 @pytest.fixture
@@ -45,57 +45,59 @@
     site.close()
 
 
-def test_a_version_nearly_here_is_gone_on_with_when_its_hub_goes(hub_site) -> None:
+def test_a_nearly_complete_transfer_continues_when_its_hub_is_killed(hub_site) -> None:
     hub_site.start()
-    hub, successor = hub_site.ranked()
+    hub, standby = hub_site.ranked()
     strand_second_version(hub_site)
-    for host in ("127.0.0.1", hub, successor):
-        hub_site.wait_holding(host, 2, CHUNKS - LEFT_CHUNKS)
+    for host in ("127.0.0.1", hub, standby):
+        hub_site.wait_for_version_chunks(host, 2, CHUNKS - LEFT_CHUNKS)
     third = hub_site.origin.versions.pop(3)
-    sleep(max(0.0, hub_site.store.named_at[MODEL, 2] + APART_SECONDS - monotonic()))
+    sleep(max(0.0, hub_site.store.named_at[MODEL, 2] + NAME_GAP_SECONDS - monotonic()))
     hub_site.store.put_version(MODEL, 3)
     hub_site.loader.wait_event("version-named", version="3")
     hub_site.places[hub].kill()
-    hub_site.loader.wait_event("gateways-known", detail={"gateways": [successor]})
+    hub_site.loader.wait_event("gateways-known", detail={"gateways": [standby]})
     hub_site.origin.away = False
     hub_site.wait_serving(2)
     hub_site.origin.versions[3] = third
     hub_site.wait_serving(3)
 
 
-def test_a_version_that_comes_after_its_successor_is_required_is_of_no_use() -> None:
+def test_a_version_ready_after_its_successors_bound_is_not_usable() -> None:
     now = Seconds(100.0)
     assert is_usable(2.0, Seconds(103.5), now)
     assert not is_usable(4.0, Seconds(103.5), now)
     assert is_usable(4.0, None, now)
 
 
-def test_not_even_the_early_half_finishes_what_is_of_no_use() -> None:
+def test_the_early_half_does_not_finish_an_unusable_version() -> None:
     now = Seconds(100.0)
     newer = TransferPlan(5.5, Seconds(103.5))
     assert should_continue(TransferPlan(3.0, Seconds(100.0)), newer, now, early=True)
     assert not should_continue(
         TransferPlan(4.0, Seconds(100.0)), newer, now, early=True
     )
-    late = TransferPlan(5.5, Seconds(100.8))
-    assert not should_continue(TransferPlan(1.0, Seconds(97.0)), late, now, early=True)
+    late_newer = TransferPlan(5.5, Seconds(100.8))
+    assert not should_continue(
+        TransferPlan(1.0, Seconds(97.0)), late_newer, now, early=True
+    )
 
 
-def test_what_was_left_off_comes_first_while_the_newer_version_is_not_there() -> None:
+def test_a_started_version_precedes_an_unavailable_newer_one() -> None:
     now = Seconds(100.0)
     current = TransferPlan(3.0, Seconds(104.0))
     newer = TransferPlan(5.5, Seconds(107.0))
     assert takes_precedence(current, newer, now, early=False, newer_available=False)
     assert not takes_precedence(current, newer, now, early=False, newer_available=True)
     assert takes_precedence(current, newer, now, early=True, newer_available=True)
-    useless = TransferPlan(7.5, Seconds(104.0))
-    assert not takes_precedence(useless, newer, now, early=True, newer_available=False)
+    unusable = TransferPlan(7.5, Seconds(104.0))
+    assert not takes_precedence(unusable, newer, now, early=True, newer_available=False)
 
 
-def test_an_engine_that_crashes_starts_again_while_the_newer_version_is_not_there(
+def test_a_crashed_engine_restarts_on_the_staged_version(
     hub_site,
 ) -> None:
-    """It stayed without weights until the newer version came, with one staged."""
+    """Otherwise it has no weights until the newer version arrives, with one staged."""
     hub_site.start()
     hub_site.store.put_version(MODEL, 2)
     hub_site.wait_serving(2)
