--- a/tests/platform/test_foreign_decisions.py
+++ b/tests/platform/test_foreign_decisions.py
@@ -162,8 +162,8 @@
     (line,) = reader.events.bad()
     assert line["key"] == CONFIG_KEY
     # A process that starts reads the invalid one; the valid one is pinned for it.
-    (kept,) = reader.keeper.pin.call_args.args
-    assert kept.value == encode(make_config(1))
+    (pinned,) = reader.keeper.pin.call_args.args
+    assert pinned.value == encode(make_config(1))
     reader.decide(CONFIG_KEY, make_config(2))
     assert reader.view.config.version == 2
 
--- a/tests/platform/test_hubs.py
+++ b/tests/platform/test_hubs.py
@@ -316,7 +316,7 @@
     hub_site.origin.versions[2] = make_chunks(2)
     hub_site.start()
     hub, standby = hub_site.ranked()
-    hub_site.origin.hold_after = 0
+    hub_site.origin.send_limit = 0
     hub_site.store.put_version(MODEL, 2)
     hub_site.loader.wait_event("rollout-phase", version="2")
     hub_site.origin.wait_until(lambda: chunk_calls(hub_site) > CHUNKS)
@@ -332,11 +332,11 @@
     hub_site.start()
     hub, _ = hub_site.ranked()
     origin = hub_site.origin
-    origin.hold_after = origin.sent + CHUNKS - 4
+    origin.send_limit = origin.sent + CHUNKS - 4
     hub_site.store.put_version(MODEL, 2)
     for host in hub_site.places:
         hub_site.ask(host)
-    origin.wait_until(lambda: origin.sent == origin.hold_after)
+    origin.wait_until(lambda: origin.sent == origin.send_limit)
     for host in hub_site.places:
         hub_site.wait_for_version_chunks(host, 2, CHUNKS - 4)
     hub_site.store.put_version(MODEL, 3)
@@ -354,14 +354,14 @@
     hub_site.start()
     origin = hub_site.origin
     sent = origin.sent
-    origin.hold_after = sent + CHUNKS - 4
+    origin.send_limit = sent + CHUNKS - 4
     hub_site.store.put_version(MODEL, 2)
     origin.wait_until(lambda: origin.sent == sent + CHUNKS - 4)
-    origin.away = True
+    origin.unreachable = True
     # Chunks in flight at the start of the outage still arrive.
     origin.release()
-    origin.wait_until(lambda: origin.turned_away > 2)
-    origin.away = False
+    origin.wait_until(lambda: origin.dropped_connections > 2)
+    origin.unreachable = False
     hub_site.wait_serving(2)
     assert origin.sent == sent + CHUNKS
 
@@ -381,7 +381,7 @@
     chunks = hub_site.origin.versions[1]
     hub_site.engine.staged = dict(enumerate(chunks))
     hub_site.engine.version = 1
-    hub_site.engine.started[1] = dict(enumerate(chunks))
+    hub_site.engine.staged_at_start[1] = dict(enumerate(chunks))
     hub_site.start()
     for gateway in hub_site.places.values():
         gateway.wait_event("version-complete", version="1")
--- a/tests/platform/test_kept_transfers.py
+++ b/tests/platform/test_kept_transfers.py
@@ -68,10 +68,10 @@
     narrow.store.put_version(MODEL, 2)
     for host in narrow.places:
         narrow.wait_for_version_chunks(host, 2, CHUNKS)
-    narrow.origin.hold_after = narrow.origin.sent + CHUNKS // 4
+    narrow.origin.send_limit = narrow.origin.sent + CHUNKS // 4
     narrow.wait_for_version_chunks("127.0.0.1", 2, LOADER_CHUNKS)
     narrow.store.put_version(MODEL, 3)
-    narrow.origin.wait_until(lambda: narrow.origin.sent == narrow.origin.hold_after)
+    narrow.origin.wait_until(lambda: narrow.origin.sent == narrow.origin.send_limit)
     narrow.wait_serving(2)
     assert monotonic() - started_at < COPY_SECONDS + START_SECONDS
     narrow.origin.release()
--- a/tests/platform/test_late_hubs.py
+++ b/tests/platform/test_late_hubs.py
@@ -50,10 +50,10 @@
 def test_new_hubs_fetch_from_loaders_during_an_origin_outage(hub_site) -> None:
     hub_site.start()
     origin = hub_site.origin
-    origin.hold_after = origin.sent + CHUNKS - UNSENT_CHUNKS
+    origin.send_limit = origin.sent + CHUNKS - UNSENT_CHUNKS
     hub_site.store.put_version(MODEL, 2)
     hub_site.wait_for_version_chunks("127.0.0.1", 2, CHUNKS - UNSENT_CHUNKS)
-    origin.away = True
+    origin.unreachable = True
     origin.release()
     for gateway in hub_site.places.values():
         gateway.kill()
@@ -62,7 +62,7 @@
     hub_site.restart_gateways()
     hub, _ = hub_site.ranked()
     hub_site.wait_for_version_chunks(hub, 2, CHUNKS - UNSENT_CHUNKS)
-    origin.away = False
+    origin.unreachable = False
     hub_site.wait_serving(2)
 
 
@@ -73,13 +73,13 @@
         narrow.wait_for_version_chunks(host, 2, CHUNKS)
     narrow.wait_for_version_chunks("127.0.0.1", 2, LOADER_CHUNKS)
     origin = narrow.origin
-    origin.away = True
+    origin.unreachable = True
     for gateway in narrow.places.values():
         gateway.kill()
     sleep(LOADER_REQUEST_AGE_SECONDS)
     missing_digests = narrow.missing_digests("127.0.0.1", 2)
     narrow.restart_gateways()
-    origin.away = False
+    origin.unreachable = False
     started_at = monotonic()
     hub, _ = narrow.ranked()
     # The other chunks come over the narrow link of the loader.
--- a/tests/platform/test_left_draws.py
+++ b/tests/platform/test_left_draws.py
@@ -74,4 +74,4 @@
     slow_origin.origin.release()
     slow_origin.wait_serving(3)
     assert slow_origin.requested_chunks(2) <= FETCHED_CHUNKS + IN_FLIGHT_CHUNKS
-    assert 2 not in slow_origin.engine.started
+    assert 2 not in slow_origin.engine.staged_at_start
--- a/tests/platform/test_left_versions.py
+++ b/tests/platform/test_left_versions.py
@@ -57,7 +57,7 @@
     hub_site.loader.wait_event("version-named", version="3")
     hub_site.places[hub].kill()
     hub_site.loader.wait_event("gateways-known", detail={"gateways": [standby]})
-    hub_site.origin.away = False
+    hub_site.origin.unreachable = False
     hub_site.wait_serving(2)
     hub_site.origin.versions[3] = third
     hub_site.wait_serving(3)
@@ -107,7 +107,7 @@
     hub_site.loader.wait_event("rollout-phase", version="3", detail=phase)
     with hub_site.engine.changed:
         hub_site.engine.version = 0
-        hub_site.engine.started.clear()
+        hub_site.engine.staged_at_start.clear()
     hub_site.wait_serving(2)
     hub_site.origin.versions[3] = third
     hub_site.wait_serving(3)
