--- a/tests/platform/test_hubs.py
+++ b/tests/platform/test_hubs.py
@@ -369,12 +369,12 @@
 def test_the_standby_takes_over_from_a_stopped_hub(hub_site) -> None:
     hub_site.start()
     hub, standby = hub_site.ranked()
-    hub_site.places[hub].running.terminate()
+    hub_site.places[hub].started_process.terminate()
     hub_site.loader.wait_event("gateways-known", detail={"gateways": [standby]})
     hub_site.store.put_version(MODEL, 2)
     hub_site.wait_serving(2)
     hub_site.places[standby].wait_event("version-complete", version="2")
-    assert hub_site.places[hub].running.wait(10) == 0
+    assert hub_site.places[hub].started_process.wait(10) == 0
 
 
 def test_the_first_version_is_fetched_from_the_engines_of_the_domain(hub_site) -> None:
--- a/tests/platform/test_left_versions.py
+++ b/tests/platform/test_left_versions.py
@@ -52,7 +52,12 @@
     for host in ("127.0.0.1", hub, standby):
         hub_site.wait_for_version_chunks(host, 2, CHUNKS - LEFT_CHUNKS)
     third = hub_site.origin.versions.pop(3)
-    sleep(max(0.0, hub_site.store.named_at[MODEL, 2] + NAME_GAP_SECONDS - monotonic()))
+    sleep(
+        max(
+            0.0,
+            hub_site.store.version_put_at[MODEL, 2] + NAME_GAP_SECONDS - monotonic(),
+        )
+    )
     hub_site.store.put_version(MODEL, 3)
     hub_site.loader.wait_event("version-named", version="3")
     hub_site.places[hub].kill()
