--- a/tests/platform/test_loader.py
+++ b/tests/platform/test_loader.py
@@ -121,7 +121,7 @@
 
 
 def test_a_spoilt_chunk_is_drawn_again(loader_site) -> None:
-    loader_site.origin.spoilt = {(1, 3), (1, 7)}
+    loader_site.origin.corrupt_chunks = {(1, 3), (1, 7)}
     loader_site.start()
     loader_site.wait_serving(1)
     assert chunk_calls(loader_site) == CHUNKS + 2
@@ -137,7 +137,7 @@
             while bad:
                 staged[bad.pop()] = bytes(CHUNK_BYTES)
 
-    loader_site.engine.spoil = spoil
+    loader_site.engine.corrupt_staged = spoil
     loader_site.start()
     loader_site.wait_serving(1)
     assert bad == []
@@ -149,7 +149,7 @@
     drawn = chunk_calls(loader_site)
     with loader_site.engine.changed:
         loader_site.engine.version = 0
-        loader_site.engine.started.clear()
+        loader_site.engine.staged_at_start.clear()
     loader_site.wait_serving(1)
     assert chunk_calls(loader_site) == drawn
 
@@ -161,7 +161,7 @@
     loader_site.loader.kill()
     with loader_site.engine.changed:
         loader_site.engine.version = 0
-        loader_site.engine.started.clear()
+        loader_site.engine.staged_at_start.clear()
     loader_site.loader.start()
     loader_site.wait_serving(1)
     assert chunk_calls(loader_site) == drawn
@@ -207,7 +207,7 @@
     loader_site.start()
     loader_site.wait_serving(1)
     engine = loader_site.engine
-    engine.late = loader_site.origin.versions[2][0]
+    engine.late_chunk = loader_site.origin.versions[2][0]
     loader_site.store.put_version(MODEL, 2)
     engine.wait_until(lambda: engine.late_deadline > 0)
     loader_site.store.put_version(MODEL, 3)
--- a/tests/platform/test_name_dates.py
+++ b/tests/platform/test_name_dates.py
@@ -60,7 +60,7 @@
 
     What comes later in a read that waits is dated by its beginning, up to 0.4 s before.
     """
-    asked = front.store.asked
+    asked = front.store.offset_reads
     seen = len(asked)
     front.wait_until(lambda: any(DECISIONS_TOPIC in call for call in asked[seen:]))
 
@@ -76,7 +76,7 @@
     front.store.put_config(large)
     sleep(NAMED_AFTER_SECONDS)
     front.store.put_version(MODEL, 2)
-    named_at = front.store.named_at[MODEL, 2]
+    named_at = front.store.version_put_at[MODEL, 2]
     front.gateway.wait_event("version-named", version="2")
     sleep(max(0.0, named_at + BOUND_SECONDS - ASKED_BEFORE_SECONDS - monotonic()))
     front.send(front.open(), "/stream/x", extra=(f"Model: {MODEL}",))
@@ -151,7 +151,7 @@
     engine = loaded.engines[0]
     engine.behaviour = begin_late
     loaded.store.put_version(MODEL, 2)
-    bound = loaded.store.named_at[MODEL, 2] + BOUND_SECONDS
+    bound = loaded.store.version_put_at[MODEL, 2] + BOUND_SECONDS
     loaded.gateway.wait_event("version-named", version="2")
 
     def ask_until(limit: float) -> int:
--- a/tests/platform/test_needless_draws.py
+++ b/tests/platform/test_needless_draws.py
@@ -54,7 +54,7 @@
     hub, successor = hub_site.ranked()
     origin = hub_site.origin
     drawn = chunk_calls(hub_site)
-    limit = origin.hold_after = origin.sent + 2
+    limit = origin.send_limit = origin.sent + 2
     hub_site.store.put_version(MODEL, 2)
     origin.wait_until(lambda: origin.sent == limit)
     hub_site.places[hub].running.terminate()
--- a/tests/platform/test_outdated_transfers.py
+++ b/tests/platform/test_outdated_transfers.py
@@ -81,7 +81,7 @@
     strand_second_version(hub_site)
     name_for_hubs(hub_site, 3)
     del hub_site.origin.versions[2]
-    hub_site.origin.away = False
+    hub_site.origin.unreachable = False
     back = monotonic()
     hub, _ = hub_site.ranked()
     hub_site.places[hub].wait_event("version-complete", version="3")
@@ -96,7 +96,7 @@
     name_for_hubs(hub_site, 3)
     name_for_hubs(hub_site, 4)
     drawn = pieces_of(hub_site, 2)
-    hub_site.origin.away = False
+    hub_site.origin.unreachable = False
     back = monotonic()
     hub_site.wait_serving(4)
     assert monotonic() - back < SOON_SECONDS
@@ -110,7 +110,7 @@
     loader_site.store.put_version(MODEL, 3)
     loader_site.loader.wait_event("version-named", version="3")
     del loader_site.origin.versions[2]
-    loader_site.origin.away = False
+    loader_site.origin.unreachable = False
     loader_site.wait_serving(3)
 
 
@@ -122,6 +122,6 @@
         loader_site.store.put_version(MODEL, version)
         loader_site.loader.wait_event("version-named", version=str(version))
     drawn = pieces_of(loader_site, 2)
-    loader_site.origin.away = False
+    loader_site.origin.unreachable = False
     loader_site.wait_serving(4)
     assert pieces_of(loader_site, 2) == drawn
