--- a/tests/platform/test_loader.py
+++ b/tests/platform/test_loader.py
@@ -1,4 +1,4 @@
-"""A loader brings versions of weights to its engine, whatever goes wrong."""
+"""Tests that a loader stages weights and starts its engine despite faults."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -24,7 +24,7 @@
 
 
 class LoaderSite:
-    """A loader process with its engine, the store and the origin."""
+    """A loader process with stand-ins of its engine, the store and the origin."""
 
     seeds: tuple[str, ...] = ()
 
@@ -109,65 +109,65 @@
     return sum("/piece/" in target for _, target in site.origin.calls)
 
 
-def test_an_empty_engine_is_filled_and_brought_to_each_named_version(
+def test_engine_without_weights_gets_each_announced_version(
     loader_site,
 ) -> None:
     loader_site.start()
     loader_site.wait_serving(1)
     loader_site.store.put_version(MODEL, 2)
     loader_site.wait_serving(2)
-    # Each chunk of each version was drawn once.
+    # Each chunk of each version was fetched once.
     assert chunk_calls(loader_site) == 2 * CHUNKS
 
 
-def test_a_spoilt_chunk_is_drawn_again(loader_site) -> None:
+def test_corrupt_chunk_is_fetched_again(loader_site) -> None:
     loader_site.origin.corrupt_chunks = {(1, 3), (1, 7)}
     loader_site.start()
     loader_site.wait_serving(1)
     assert chunk_calls(loader_site) == CHUNKS + 2
 
 
-def test_chunks_that_turn_bad_where_they_lie_are_repaired_before_the_start(
+def test_chunks_corrupted_in_staging_are_repaired_before_the_start(
     loader_site,
 ) -> None:
-    bad = [2, 5]
+    indexes_to_corrupt = [2, 5]
 
-    def spoil(staged: dict[int, bytes]) -> None:
+    def corrupt(staged: dict[int, bytes]) -> None:
         if len(staged) == CHUNKS:
-            while bad:
-                staged[bad.pop()] = bytes(CHUNK_BYTES)
+            while indexes_to_corrupt:
+                staged[indexes_to_corrupt.pop()] = bytes(CHUNK_BYTES)
 
-    loader_site.engine.corrupt_staged = spoil
+    loader_site.engine.corrupt_staged = corrupt
     loader_site.start()
     loader_site.wait_serving(1)
-    assert bad == []
+    assert indexes_to_corrupt == []
 
 
-def test_a_restarted_engine_starts_from_what_lies_staged(loader_site) -> None:
+def test_restarted_engine_starts_from_the_staged_chunks(loader_site) -> None:
     loader_site.start()
     loader_site.wait_serving(1)
-    drawn = chunk_calls(loader_site)
+    fetch_count = chunk_calls(loader_site)
     with loader_site.engine.changed:
         loader_site.engine.version = 0
         loader_site.engine.staged_at_start.clear()
     loader_site.wait_serving(1)
-    assert chunk_calls(loader_site) == drawn
+    assert chunk_calls(loader_site) == fetch_count
 
 
-def test_a_restarted_loader_takes_the_chunks_from_the_engine(loader_site) -> None:
+def test_restarted_loader_reuses_the_chunks_staged_at_the_engine(loader_site) -> None:
     loader_site.start()
     loader_site.wait_serving(1)
-    drawn = chunk_calls(loader_site)
+    fetch_count = chunk_calls(loader_site)
     loader_site.loader.kill()
     with loader_site.engine.changed:
         loader_site.engine.version = 0
         loader_site.engine.staged_at_start.clear()
     loader_site.loader.start()
     loader_site.wait_serving(1)
-    assert chunk_calls(loader_site) == drawn
+    assert chunk_calls(loader_site) == fetch_count
 
 
-def test_a_version_named_while_the_store_is_away_is_brought_in_later(
+def test_version_announced_during_a_store_outage_is_fetched_later(
     loader_site,
 ) -> None:
     loader_site.start()
@@ -178,7 +178,7 @@
     loader_site.wait_serving(2)
 
 
-def test_two_versions_in_quick_succession_end_with_the_newer(loader_site) -> None:
+def test_newer_of_two_versions_in_quick_succession_is_served(loader_site) -> None:
     loader_site.start()
     loader_site.wait_serving(1)
     loader_site.store.put_version(MODEL, 2)
@@ -186,12 +186,12 @@
     loader_site.wait_serving(3)
 
 
-def test_at_the_first_start_of_all_the_engine_is_waited_for(tmp_path) -> None:
+def test_loader_waits_for_the_engine_at_the_first_start(tmp_path) -> None:
     site = LoaderSite(tmp_path, engine_started=False, first_start=True)
     try:
         site.start()
-        # Each look at the engine that is not there ends after a second; a loader
-        # that waited for no engine would have begun with the origin after three.
+        # Each poll of the missing engine fails after 1 s; a loader that did not wait
+        # for the engine would have called the origin after 3 s.
         site.loader.wait_event("rollout-phase", 20, after=5, version="0")
         assert chunk_calls(site) == 0
         site.engine.staged = dict(enumerate(site.origin.versions[1]))
@@ -202,8 +202,8 @@
         site.close()
 
 
-def test_a_call_that_is_carried_out_late_spoils_no_start(loader_site) -> None:
-    """A chunk of an older version lands on one of the newer, after the last look."""
+def test_late_staging_write_corrupts_no_start(loader_site) -> None:
+    """A chunk of an older version overwrites a newer chunk after the last check."""
     loader_site.start()
     loader_site.wait_serving(1)
     engine = loader_site.engine
