--- a/tests/platform/test_old_decisions.py
+++ b/tests/platform/test_old_decisions.py
@@ -1,16 +1,11 @@
-"""Decisions that were replaced must not come back.
-
-What happened: some seconds after all processes had been killed and started again,
-engines that served version 3 of a model were brought back to version 2, and requests
-began on it 32 s after version 3 had been acknowledged.
-
-Sequence: version 2 was named (offset 13 of the decisions), version 3 (offset 14),
-then version 2 once more (offset 15): a write without an answer had been done again,
-and the first one was carried out late. Processes that ran kept version 3. Those that
-started read the newest record of each key, and that is version 2.
-
-What settled it: before the restart `version-named` 2 and 3 with offsets 13 and 14;
-after it `version-named` 2 with offset 15, at every process, and none with 3.
+"""Tests that superseded decisions do not become effective again.
+
+A write without an answer is repeated, and the first write may take effect late: version
+2 is announced (offset 13 of the decisions), then version 3 (offset 14), then version 2
+again (offset 15). Running processes keep version 3, but a process that restarts reads
+the newest record of each key, which is version 2. Engines that served version 3 were
+then set back to version 2 after a restart of all processes, and requests started on
+version 2 32 s after the acknowledgement of version 3.
 """
 
 from collections.abc import Iterator
@@ -22,7 +17,7 @@
 from test_loader import LoaderSite
 
 
-def use_bounds(front: GatewaySite, **bounds: int) -> None:
+def set_bounds(front: GatewaySite, **bounds: int) -> None:
     front.settings["bounds"].update(bounds)
     front.path.write_bytes(encode(front.settings))
 
@@ -33,7 +28,7 @@
     front.wait_until(lambda: front.ready() == 200)
 
 
-def test_a_configuration_written_late_does_not_come_back_with_a_restart(front) -> None:
+def test_late_configuration_write_is_ignored_after_a_restart(front) -> None:
     front.add_engine("app")
     newer = make_config(6)
     newer["routes"].append(make_route("/new/", "safe", "app"))
@@ -47,11 +42,12 @@
     assert front.ask("/new/x")[0] == 200
 
 
-def test_what_is_kept_is_not_replaced_by_a_late_write_either(front) -> None:
-    """The system's own writes are lost and done late as well.
+def test_pinned_decision_is_not_replaced_by_a_late_write(front) -> None:
+    """Writes of pinned decisions may be lost or take effect late as well.
 
-    Version 3 was kept, then version 5; the write of version 3 was done late, and the
-    next start believed that. Nothing could be brought in: the origin had it no more.
+    Version 3 was pinned, then version 5. The write of version 3 took effect late, and
+    the next process that started applied version 3. The version could not be fetched
+    because the origin had deleted version 3.
     """
     front.add_engine("app")
     front.start(make_config(5))
@@ -71,8 +67,10 @@
     assert front.ask("/new/x")[0] == 200
 
 
-def test_who_starts_before_a_decision_is_kept_learns_of_it(front) -> None:
-    """Found by reading: a start between a late write and the keeping found nothing."""
+def test_process_started_before_a_decision_is_pinned_receives_the_decision(
+    front,
+) -> None:
+    """A process that starts between a late write and the pinning finds no decision."""
     front.add_engine("app")
     newer = make_config(6)
     newer["routes"].append(make_route("/new/", "safe", "app"))
@@ -87,8 +85,8 @@
     front.wait_until(lambda: front.ask("/new/x")[0] == 200, 10.0)
 
 
-def test_who_is_behind_does_not_miss_what_a_late_write_follows(front) -> None:
-    """Found by reading: what was passed over may be higher than the newest record."""
+def test_lagging_process_applies_a_decision_followed_by_a_late_write(front) -> None:
+    """A skipped record may hold a higher version than the newest record."""
     front.add_engine("app")
     front.start()
     front.gateway.pause()
@@ -104,11 +102,11 @@
     front.wait_until(lambda: front.ask("/new/x")[0] == 200, 10.0)
 
 
-def test_a_version_named_late_does_not_come_back_with_a_restart(front) -> None:
-    old = front.add_engine("llm", version=2)
-    new = front.add_engine("llm", version=3)
-    # So short that nothing may begin on older weights once newer ones are named.
-    use_bounds(front, version_ms=300)
+def test_late_version_write_is_ignored_after_a_restart(front) -> None:
+    old_engine = front.add_engine("llm", version=2)
+    new_engine = front.add_engine("llm", version=3)
+    # So short that no request may start on older weights after the announcement.
+    set_bounds(front, version_ms=300)
     front.start()
     for version in (2, 3, 2):
         front.store.put_version(MODEL, version)
@@ -117,24 +115,24 @@
     restart(front)
     for _ in range(8):
         front.ask("/once-stream/x", extra=(f"Model: {MODEL}",))
-    assert len(new.requests) > 0
-    versions = {request.header("Expected-Version") for request in old.requests}
+    assert len(new_engine.requests) > 0
+    versions = {request.header("Expected-Version") for request in old_engine.requests}
     assert versions <= {"3"}
 
 
-def test_a_restart_does_not_put_a_versions_bound_off(front) -> None:
-    """A gateway that starts does not know since when a version is named.
+def test_restart_does_not_extend_the_bound_of_a_version(front) -> None:
+    """A gateway that starts does not know when a version was announced.
 
-    It counted the time in which requests may still begin on older weights from its own
-    start, so that each restart added all of that time once more.
+    Counted from the start of the gateway, the time in which requests may start on older
+    weights would begin again with each restart.
     """
-    old = front.add_engine("llm", version=1)
+    old_engine = front.add_engine("llm", version=1)
     front.start()
     front.store.put_version(MODEL, 2)
     front.gateway.wait_event("version-named", version="2")
     restart(front)
     front.ask("/once-stream/x", extra=(f"Model: {MODEL}",))
-    versions = {request.header("Expected-Version") for request in old.requests}
+    versions = {request.header("Expected-Version") for request in old_engine.requests}
     assert versions == {"2"}
 
 
@@ -145,7 +143,7 @@
     loader_site.close()
 
 
-def test_an_engine_is_not_brought_back_to_an_older_version(site) -> None:
+def test_engine_is_not_set_back_to_an_older_version(site) -> None:
     site.start()
     for version in (2, 3):
         site.store.put_version(MODEL, version)
--- a/tests/platform/test_old_weights.py
+++ b/tests/platform/test_old_weights.py
@@ -1,9 +1,10 @@
-"""What bounds the last start on old weights, whatever a link and a process are late by.
+"""Tests of the last start on old weights with slow links and slow processes.
 
-What happened: requests were sent to engines with weights that were to be replaced a
-second later, with an estimated wait of less than 0.45 s. They waited 1.1 and 1.5 s, and
-their gateways, beside a dozen processes that started, took them back as late as that.
-A margin that is the same for all says nothing of the way or of the wait.
+A margin that is the same for all targets accounts neither for the network delay nor for
+the delay of the gateway. Requests were sent to engines whose weights were to be
+replaced 1 s later, with an estimated wait below 0.45 s. The requests waited 1.1 and
+1.5 s, and their gateways, which ran beside a dozen starting processes, withdrew the
+requests equally late.
 """
 
 from hypothesis import given
@@ -29,50 +30,56 @@
 from ridgecourse_standins.platform.loader import IDLE_STATUS
 
 BOUND = Seconds(100.0)
-SPANS = st.floats(0.0, 2.0)
+DELAYS = st.floats(0.0, 2.0)
 
 
-@given(SPANS, SPANS, st.floats(0.0, 1.0))
-def test_what_is_taken_back_arrives_before_the_bound(way, lag, slack) -> None:
-    """Also if both are as long once more as lately, and somewhat longer."""
-    begin_by = WithdrawalDelays(way, lag).start_deadline(BOUND)
-    assert begin_by + lag + way + slack * WITHDRAWAL_MARGIN_SECONDS <= BOUND + 1e-9
+@given(DELAYS, DELAYS, st.floats(0.0, 1.0))
+def test_withdrawal_arrives_before_the_bound(network_delay, lag, slack) -> None:
+    """Holds if both delays recur and grow together by up to the margin."""
+    start_deadline = WithdrawalDelays(network_delay, lag).start_deadline(BOUND)
+    assert (
+        start_deadline + lag + network_delay + slack * WITHDRAWAL_MARGIN_SECONDS
+        <= BOUND + 1e-9
+    )
 
 
-@given(SPANS, SPANS, SPANS, SPANS, st.floats(90.0, 101.0))
-def test_what_waits_as_long_as_expected_begins_in_time(
-    wait, delay, way, lag, now
+@given(DELAYS, DELAYS, DELAYS, DELAYS, st.floats(90.0, 101.0))
+def test_request_with_the_expected_wait_starts_in_time(
+    wait, delay, network_delay, lag, now
 ) -> None:
-    begin_by = WithdrawalDelays(way, lag).start_deadline(BOUND)
-    if can_start_in_time(Seconds(now), wait, delay, begin_by):
-        assert now + wait + delay + DISPATCH_TO_FIRST_EVENT_SECONDS < begin_by
+    start_deadline = WithdrawalDelays(network_delay, lag).start_deadline(BOUND)
+    if can_start_in_time(Seconds(now), wait, delay, start_deadline):
+        assert now + wait + delay + DISPATCH_TO_FIRST_EVENT_SECONDS < start_deadline
     else:
-        assert now + wait + delay + DISPATCH_TO_FIRST_EVENT_SECONDS >= begin_by
+        assert now + wait + delay + DISPATCH_TO_FIRST_EVENT_SECONDS >= start_deadline
 
 
-def test_a_longer_way_is_reckoned_with_earlier() -> None:
+def test_longer_network_delay_gives_an_earlier_deadline() -> None:
     near, far = WithdrawalDelays(0.003, 0.0), WithdrawalDelays(0.8, 0.0)
     assert far.start_deadline(BOUND) < near.start_deadline(BOUND) - 0.7
 
 
-def test_the_way_to_a_target_that_comes_back_is_not_forgotten() -> None:
-    """An engine behind a narrowed link lapsed from the list and was listed again.
+def test_network_delay_of_a_target_listed_again_is_kept() -> None:
+    """An engine behind a slow link expires from the list and is listed again.
 
-    Requests were sent there as over a wide link and taken back 0.3 s before the bound.
-    They reached the engine 0.5 s later, and two began 0.2 and 0.3 s past the bound.
-    What had been seen of the way was dropped with the entry.
+    Requests were sent to the engine as over a fast link, because the observed network
+    delay was deleted with the entry. Requests withdrawn 0.3 s before the bound reached
+    the engine 0.5 s later, and two started 0.2 and 0.3 s past the bound.
     """
-    states = TargetHealthTable()
-    life = EngineIncarnation(TargetId("i-1"), None)
-    states.value_of(life).network_delays.observe(0.3, Seconds(100.0))
-    states.retain(set(), Seconds(101.0))
-    assert states.value_of(life).network_delays.decayed_peak(Seconds(101.0)) > 0.2
-    states.retain(set(), Seconds(101.0))
-    states.retain(set(), Seconds(101.0 + 10 * DELAY_MEMORY_SECONDS))
-    assert not states.network_delays
+    health_table = TargetHealthTable()
+    incarnation = EngineIncarnation(TargetId("i-1"), None)
+    health_table.value_of(incarnation).network_delays.observe(0.3, Seconds(100.0))
+    health_table.retain(set(), Seconds(101.0))
+    assert (
+        health_table.value_of(incarnation).network_delays.decayed_peak(Seconds(101.0))
+        > 0.2
+    )
+    health_table.retain(set(), Seconds(101.0))
+    health_table.retain(set(), Seconds(101.0 + 10 * DELAY_MEMORY_SECONDS))
+    assert not health_table.network_delays
 
 
-def test_an_engine_whose_loader_tells_nothing_may_be_far() -> None:
+def test_engine_without_reports_is_assumed_to_be_far() -> None:
     now = Seconds(100.0)
     load = EngineLoad()
     assert load.network_delay(now) == UNKNOWN_DELAY_SECONDS
--- a/tests/platform/test_passed_over.py
+++ b/tests/platform/test_passed_over.py
@@ -1,15 +1,14 @@
-"""What a process that was behind passed over is read later, all of it.
-
-What happened: a gateway woke 18 configurations behind, read the newest one, and then
-those in between, for one of them was higher than the newest. It stopped at the 14th of
-20 and refused callers of the highest one for as long as it ran.
-
-Why: the range that was passed over ended where the topic had ended when the gateway
-found itself behind. Until it read the newest records six more were written; these were
-in no range and in no later read.
-
-What settled it: "config-folded" 5 at offset 4, then 18 at offset 19;
-"decision-outdated" for the versions 6 to 13 at offsets 5 to 12 and none beyond.
+"""Tests that a process that lagged behind reads all skipped records later.
+
+A lagging process reads the newest record of each key first and the skipped records
+afterwards. The fault: the skipped range ended where the topic had ended when the
+process detected the lag. Records that were written until the newest records were read
+were in no range and in no later read. A gateway that was 18 configurations behind
+applied the newest one, then the skipped ones up to the 14th of 20 and no further,
+because 6 were written meanwhile. The highest one was among these, and the gateway
+refused its clients for as long as it ran. The gateway applied configurations 5 at
+offset 4 and 18 at offset 19, and rejected the versions 6 to 13 at offsets 5 to 12 as
+outdated.
 """
 
 from time import monotonic
@@ -41,8 +40,8 @@
 from ridgecourse.platform.records import PlatformRecordDecoder
 
 
-class BehindSource(RecordSource):
-    """A store of which a process is behind, and that wrote a higher version late."""
+class PreparedSource(RecordSource):
+    """A record source that returns prepared answers to a process that lags behind."""
 
     def __init__(self, answers: list[RecordBatch | SourceUnavailable]) -> None:
         self.answers = answers
@@ -60,17 +59,19 @@
         raise SourceUnavailable("not written")
 
 
-def follow(answers: list[RecordBatch | SourceUnavailable]) -> list[RecordBatch]:
-    """Return what a follower takes in until the store tells no more."""
-    taken: list[RecordBatch] = []
+def collect_batches(
+    answers: list[RecordBatch | SourceUnavailable],
+) -> list[RecordBatch]:
+    """Return the batches that a follower applies until the source has no answers."""
+    batches: list[RecordBatch] = []
     events = EventStream(ProcessName("p"), Incarnation("i"), DomainName("a"))
     follower = RecordFollower(
-        BehindSource(answers),
+        PreparedSource(answers),
         Topic.DECISIONS,
         0.0,
         0.0,
-        lambda batch, whole: taken.append(batch),
-        lambda away: None,
+        lambda batch, is_snapshot: batches.append(batch),
+        lambda is_unreachable: None,
         events,
         reads_skipped=True,
     )
@@ -78,11 +79,11 @@
     while answers:
         eventlet.sleep(0.01)
     follower.close()
-    return taken
+    return batches
 
 
-def test_what_was_passed_over_is_dated_by_when_that_began() -> None:
-    """Found by reading: it was dated by when it was read after all, seconds later."""
+def test_skipped_records_are_dated_by_the_start_of_the_skip() -> None:
+    """Dated by the time of their late read, the records would be seconds too new."""
     record = KeyedRecord("k", b"x", Offset(1))
     answers = [
         RecordBatch([], Offset(1), Seconds(10.0)),
@@ -91,8 +92,8 @@
         RecordBatch([], Offset(10), Seconds(13.0)),
         RecordBatch([record], Offset(10), Seconds(13.1)),
     ]
-    taken = follow(answers)
-    assert [batch.earliest_written_at for batch in taken] == [
+    batches = collect_batches(answers)
+    assert [batch.earliest_written_at for batch in batches] == [
         None,
         None,
         None,
@@ -101,7 +102,7 @@
     ]
 
 
-def test_what_was_written_until_the_newest_records_were_read_is_read_as_well() -> None:
+def test_records_written_before_the_newest_read_are_read_as_well() -> None:
     record = KeyedRecord("k", b"x", Offset(1))
     answers = [
         RecordBatch([], Offset(1), Seconds(10.0)),
@@ -112,33 +113,33 @@
         RecordBatch([], Offset(14), Seconds(14.0)),
         RecordBatch([record], Offset(14), Seconds(14.1)),
     ]
-    taken = follow(answers)
-    passed_over = [
-        batch.end for batch in taken if batch.earliest_written_at is not None
+    batches = collect_batches(answers)
+    skipped_ends = [
+        batch.end for batch in batches if batch.earliest_written_at is not None
     ]
-    assert passed_over == [10, 14]
+    assert skipped_ends == [10, 14]
 
 
-def test_a_read_of_what_was_passed_over_that_fails_is_done_again() -> None:
-    """Found by reading: an answer too late dropped the whole range."""
+def test_failed_read_of_skipped_records_is_repeated() -> None:
+    """An answer that is too late must not drop the skipped range."""
     record = KeyedRecord("k", b"x", Offset(1))
-    empty = RecordBatch([], Offset(10), Seconds(13.0))
+    empty_batch = RecordBatch([], Offset(10), Seconds(13.0))
     answers = [
         RecordBatch([], Offset(1), Seconds(10.0)),
         RecordBatch([record], Offset(2), Seconds(11.0), remaining_records=8),
         RecordBatch([record], Offset(10), Seconds(12.0)),
-        empty,
+        empty_batch,
         SourceUnavailable("too late"),
-        empty,
+        empty_batch,
         RecordBatch([record], Offset(10), Seconds(13.1)),
     ]
-    taken = follow(answers)
-    assert [batch.end for batch in taken if batch.earliest_written_at is not None] == [
-        10
-    ]
+    batches = collect_batches(answers)
+    assert [
+        batch.end for batch in batches if batch.earliest_written_at is not None
+    ] == [10]
 
 
-def test_what_was_passed_over_after_an_outage_is_read_later_as_well() -> None:
+def test_records_skipped_after_an_outage_are_read_later() -> None:
     record = KeyedRecord("k", b"x", Offset(8))
     answers = [
         RecordBatch([], Offset(4), Seconds(10.0)),
@@ -147,39 +148,43 @@
         RecordBatch([], Offset(9), Seconds(16.0)),
         RecordBatch([record], Offset(9), Seconds(16.1)),
     ]
-    taken = follow(answers)
-    passed_over = [
-        (b.end, b.earliest_written_at)
-        for b in taken
-        if b.earliest_written_at is not None
+    batches = collect_batches(answers)
+    skipped_batches = [
+        (batch.end, batch.earliest_written_at)
+        for batch in batches
+        if batch.earliest_written_at is not None
     ]
-    assert passed_over == [(9, 10.0)]
+    assert skipped_batches == [(9, 10.0)]
 
 
-def name_version(version: int, offset: int) -> KeyedRecord:
+def make_version_record(version: int, offset: int) -> KeyedRecord:
     value = encode({"model": MODEL, "version": version})
     return KeyedRecord(f"{VERSION_KEY_PREFIX}{MODEL}", value, Offset(offset))
 
 
-def test_what_was_passed_over_is_told_to_those_below_and_kept() -> None:
-    """Found by review: who read from here, and who started, never learned of it."""
+def test_skipped_record_is_sent_downstream_and_pinned() -> None:
+    """Otherwise downstream and newly started processes never receive the record."""
     events = EventStream(ProcessName("p"), Incarnation("i"), DomainName("a"))
-    keeper = Mock()
-    view = ClusterView(Mock(), keeper, PlatformRecordDecoder(), events, 10.0)
+    pinned_decisions = Mock()
+    view = ClusterView(Mock(), pinned_decisions, PlatformRecordDecoder(), events, 10.0)
     now = Seconds(monotonic())
-    view.apply_decisions(RecordBatch([name_version(2, 1)], Offset(2), now), True)
-    view.apply_decisions(RecordBatch([name_version(3, 13)], Offset(14), now), True)
-    child_at = view.record_server.topics[Topic.DECISIONS].end
-    higher = name_version(5, 8)
+    view.apply_decisions(RecordBatch([make_version_record(2, 1)], Offset(2), now), True)
+    view.apply_decisions(
+        RecordBatch([make_version_record(3, 13)], Offset(14), now), True
+    )
+    downstream_end = view.record_server.topics[Topic.DECISIONS].end
+    higher_version = make_version_record(5, 8)
     view.apply_decisions(
-        RecordBatch([higher], Offset(9), now, remaining_records=1), False
+        RecordBatch([higher_version], Offset(9), now, remaining_records=1), False
     )
     assert view.record_server.topics[Topic.DECISIONS].records_since(
-        child_at
-    ).records == [higher]
-    keeper.pin.assert_called_once_with(higher)
-    # Those below that already have it are not told again and again.
+        downstream_end
+    ).records == [higher_version]
+    pinned_decisions.pin.assert_called_once_with(higher_version)
+    # Downstream processes that have the record do not receive the record repeatedly.
     eventlet.sleep(LATE_RECORD_SECONDS)
     assert (
-        not view.record_server.topics[Topic.DECISIONS].records_since(child_at).records
+        not view.record_server.topics[Topic.DECISIONS]
+        .records_since(downstream_end)
+        .records
     )
