--- a/tests/platform/test_placement.py
+++ b/tests/platform/test_placement.py
@@ -1,4 +1,4 @@
-"""The placement benchmark: policies against modelled engines, in virtual time."""
+"""Tests of the placement benchmark: policies on simulated engines, in virtual time."""
 
 from argparse import Namespace
 
@@ -8,6 +8,7 @@
 
 
 def mean_credit(policy: str, rate: float) -> float:
+    """Return the mean credit of a policy over all seeds."""
     credits = [
         measure(
             policy,
@@ -18,12 +19,12 @@
     return sum(credits) / len(credits)
 
 
-def test_gateways_do_not_all_rush_to_the_same_engine() -> None:
+def test_gateways_do_not_all_choose_the_same_engine() -> None:
     credit = mean_credit("unread", 55.0)
     assert credit > 0.84
     assert credit > mean_credit("random", 55.0) + 0.3
 
 
-def test_counting_unread_prompts_is_worth_more_than_counting_requests() -> None:
+def test_prefill_backlog_policy_beats_request_count_policy() -> None:
     for rate in (55.0, 70.0):
         assert mean_credit("unread", rate) > mean_credit("count", rate) + 0.03
--- a/tests/platform/test_record_age.py
+++ b/tests/platform/test_record_age.py
@@ -1,4 +1,4 @@
-"""What another process told of the store is as old as the way made it."""
+"""Tests that the age of records from a peer includes the network delay."""
 
 from time import monotonic, sleep
 from typing import Any
@@ -12,23 +12,24 @@
 from ridgecourse.wire.codec import decode_message, encode_message
 from ridgecourse_standins.platform.weights import HttpStandIn
 
-DELAY = 0.4
+DELAY_SECONDS = 0.4
 
 
 class SlowPeer(HttpStandIn):
-    """A process that has just heard of the store, behind a slow link."""
+    """A process with current records of the store, behind a slow link."""
 
     def __init__(self, waited: float) -> None:
         super().__init__()
         self.waited = waited
 
     def answer(self, method: str, path: str, query: dict[str, str], body: bytes) -> Any:
-        sleep(DELAY)
-        shared = RecordsResponse([], Offset(7), 0.1, self.waited)
-        return 200, encode_message(shared)
+        sleep(DELAY_SECONDS)
+        response = RecordsResponse([], Offset(7), 0.1, self.waited)
+        return 200, encode_message(response)
 
 
-def ask_slow_peer(waited: float) -> float:
+def age_from_slow_peer(waited: float) -> float:
+    """Return the age of the records of a slow peer that waited for some seconds."""
     peer = SlowPeer(waited)
     peer.start()
     try:
@@ -38,41 +39,45 @@
         peer.close()
 
 
-def test_the_way_of_an_answer_makes_it_older() -> None:
-    assert ask_slow_peer(waited=0.0) >= 0.1 + DELAY
+def test_network_delay_adds_to_the_age() -> None:
+    assert age_from_slow_peer(waited=0.0) >= 0.1 + DELAY_SECONDS
 
 
-def test_what_the_other_process_waited_for_does_not() -> None:
-    assert ask_slow_peer(waited=DELAY) < 0.1 + DELAY
+def test_wait_of_the_peer_does_not_add_to_the_age() -> None:
+    assert age_from_slow_peer(waited=DELAY_SECONDS) < 0.1 + DELAY_SECONDS
 
 
-def test_a_process_tells_how_long_it_waited() -> None:
-    share = RecordServer()
-    share.topics[Topic.DECISIONS].apply(
+def test_response_states_the_wait() -> None:
+    record_server = RecordServer()
+    record_server.topics[Topic.DECISIONS].apply(
         RecordBatch([], Offset(7), Seconds(monotonic()))
     )
     path = f"/records/{Topic.DECISIONS.value}/7"
     request = HttpRequest(
         {"REQUEST_METHOD": "GET", "PATH_INFO": path, "QUERY_STRING": "wait=0.2"}
     )
-    shared = decode_message(share.serve(request).body, RecordsResponse).unwrap()
-    assert 0.15 < shared.waited < 1.0
+    response = decode_message(
+        record_server.serve(request).body, RecordsResponse
+    ).unwrap()
+    assert 0.15 < response.waited < 1.0
 
 
-def test_a_record_tells_since_when_it_is_known_on_each_level() -> None:
-    above, below = RecordServer(), RecordServer()
+def test_lag_of_a_record_is_passed_on_to_each_level() -> None:
+    upstream, downstream = RecordServer(), RecordServer()
     topic = Topic.DECISIONS
-    read_at = Seconds(monotonic() - DELAY)
+    read_at = Seconds(monotonic() - DELAY_SECONDS)
     record = KeyedRecord("config", b"{}", Offset(6))
     batch = RecordBatch([record], Offset(7), Seconds(monotonic()), read_at=read_at)
-    above.topics[topic].apply(batch)
-    below.topics[topic].apply(to_batch(above.topics[topic].records_since(Offset(0))))
-    assert above.topics[topic].level == 0
-    assert below.topics[topic].level == 1
-    assert below.topics[topic].lag >= DELAY
+    upstream.topics[topic].apply(batch)
+    downstream.topics[topic].apply(
+        to_batch(upstream.topics[topic].records_since(Offset(0)))
+    )
+    assert upstream.topics[topic].level == 0
+    assert downstream.topics[topic].level == 1
+    assert downstream.topics[topic].lag >= DELAY_SECONDS
 
 
-def test_quiet_does_not_make_a_record_look_newly_read() -> None:
+def test_empty_batch_does_not_reset_the_lag_of_a_record() -> None:
     topic = RecordServer().topics[Topic.DECISIONS]
     long_ago = Seconds(monotonic() - 100.0)
     record = KeyedRecord("config", b"{}", Offset(6))
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -1,4 +1,4 @@
-"""The way of a request through the gateway, and what can be proved of it."""
+"""Tests of the forwarding of requests and of the outcomes that a gateway can prove."""
 
 import signal
 import socket
@@ -20,19 +20,19 @@
 STREAM = ("Model: m0", "Token-Usage: 100,50")
 
 
-def test_a_request_reaches_its_target_unaltered(front) -> None:
+def test_request_reaches_its_target_unaltered(front) -> None:
     engine = front.add_engine("app")
     front.start()
-    target = "//safe/%2f..%20x/?q=%41&empty="
-    site_target = "/safe/%2f../%C3%A9;a=1//?q=%41&r="
-    status, headers, body, whole = front.ask(
-        site_target, extra=("X-Odd_Name: 1", "X-Two: a", "X-Two: b", "Tenant: forged")
+    doubled_slash_target = "//safe/%2f..%20x/?q=%41&empty="
+    target = "/safe/%2f../%C3%A9;a=1//?q=%41&r="
+    status, headers, body, is_complete = front.ask(
+        target, extra=("X-Odd_Name: 1", "X-Two: a", "X-Two: b", "Tenant: forged")
     )
-    assert (status, body, whole) == (200, b"answer", True)
+    assert (status, body, is_complete) == (200, b"answer", True)
     assert headers["response-signature"] == "signed-by-engine"
     assert headers["attempt-id"] == f"attempt-{front.attempts}"
     [request] = engine.requests
-    assert request.request_line == f"GET {site_target} HTTP/1.1"
+    assert request.request_line == f"GET {target} HTTP/1.1"
     assert request.header("Host") == "shop.example"
     assert request.header("X-Odd_Name") == "1"
     assert request.values("X-Two") == ["a", "b"]
@@ -40,11 +40,11 @@
     assert request.values("Key") == []
     assert request.header("Expected-Instance") == "i-0"
     assert 0 < int(request.header("Deadline-Ms") or 0) <= 4000
-    # A doubled slash at the start is another path, which no route has.
-    assert front.ask(target)[0] == 404
+    # A doubled slash at the start makes a different path, which matches no route.
+    assert front.ask(doubled_slash_target)[0] == 404
 
 
-def test_a_sized_and_a_chunked_body_arrive_whole(front) -> None:
+def test_sized_and_chunked_bodies_arrive_complete(front) -> None:
     engine = front.add_engine("app")
     front.start()
     body = bytes(range(256)) * 40
@@ -72,14 +72,14 @@
         (("Content-Length: 200000",), 413),
     ],
 )
-def test_a_doubtful_head_is_refused(front, extra: tuple[str, ...], status: int) -> None:
+def test_invalid_head_is_refused(front, extra: tuple[str, ...], status: int) -> None:
     engine = front.add_engine("app")
     front.start()
     assert front.ask("/once/a", method="POST", extra=extra)[0] == status
     assert engine.requests == []
 
 
-def test_routes_keys_and_accounts(front) -> None:
+def test_route_and_key_decide_the_status(front) -> None:
     front.add_engine("app")
     other = front.add_engine("other")
     front.start()
@@ -91,7 +91,7 @@
     assert len(other.requests) == 1
 
 
-def test_a_connection_serves_many_requests(front) -> None:
+def test_connection_serves_many_requests(front) -> None:
     front.add_engine("app")
     front.start()
     connection = front.open()
@@ -105,7 +105,7 @@
         assert file.read(len(b"answer")) == b"answer"
 
 
-def test_without_a_configuration_nothing_is_denied(front) -> None:
+def test_gateway_without_a_configuration_answers_503(front) -> None:
     front.gateway.start()
     front.wait_until(lambda: front.gateway.events_path.read_bytes().count(b"started"))
     status, headers, _, _ = front.ask("/safe/x", key="wrong")
@@ -114,10 +114,10 @@
     assert front.ready() == 503
 
 
-# Outcomes by proof.
+# Outcomes that the gateway can or cannot prove.
 
 
-def test_a_refusal_lets_an_unsafe_request_be_refused(front) -> None:
+def test_refusal_by_the_target_refuses_an_unsafe_request(front) -> None:
     engine = front.add_engine("app", refuse)
     front.start()
     status, headers, _, _ = front.ask("/once/x", method="POST")
@@ -126,9 +126,9 @@
     assert len(engine.requests) == 1
 
 
-def test_a_target_that_cannot_be_reached_is_passed_over(front) -> None:
-    gone = front.add_engine("app")
-    gone.close()
+def test_unreachable_target_is_skipped(front) -> None:
+    unreachable = front.add_engine("app")
+    unreachable.close()
     engine = front.add_engine("app")
     front.start()
     for _ in range(6):
@@ -136,7 +136,7 @@
     assert len(engine.requests) == 6
 
 
-def test_an_unsafe_request_that_broke_off_is_never_called_not_run(front) -> None:
+def test_interrupted_unsafe_request_is_never_reported_as_not_run(front) -> None:
     engines = [front.add_engine("app", reset_connection) for _ in range(2)]
     front.start()
     status, headers, _, _ = front.ask("/once/x", method="POST")
@@ -145,20 +145,22 @@
     assert sum(len(engine.requests) for engine in engines) == 1
 
 
-def test_a_safe_request_that_broke_off_goes_to_another_target(front) -> None:
+def test_interrupted_safe_request_is_retried_at_another_target(front) -> None:
     broken = front.add_engine("app", reset_connection)
-    sound = front.add_engine("app")
+    working = front.add_engine("app")
     front.start()
     for _ in range(6):
         assert front.ask("/safe/x")[0] == 200
-    assert broken.requests and sound.requests
+    assert broken.requests and working.requests
 
 
-def test_a_refusal_after_a_lost_send_does_not_tell_that_nothing_ran(front) -> None:
-    """A request was taken back 9 ms after its engine had begun it.
+def test_refusal_after_an_interrupted_send_does_not_prove_that_nothing_ran(
+    front,
+) -> None:
+    """A request was withdrawn 9 ms after its engine had started the request.
 
-    The next engine refused it, and its caller was told that it had not run and never
-    would.
+    The next engine refused the request, and the client received the answer that the
+    request had not run and never would.
     """
     front.add_engine("app", reset_connection)
     front.add_engine("app", refuse)
@@ -167,7 +169,7 @@
         assert front.ask("/safe/x")[0] == 502
 
 
-def answer_of_another(request: ReceivedRequest) -> None:
+def answer_another_attempt(request: ReceivedRequest) -> None:
     index = [name for name, _ in request.headers].index("Attempt-Id")
     request.headers[index] = ("Attempt-Id", "of-an-earlier-request")
     send_response(request)
@@ -177,12 +179,12 @@
     send_response(request, signed=False)
 
 
-def answer_nonsense(request: ReceivedRequest) -> None:
+def answer_invalid_http(request: ReceivedRequest) -> None:
     request.connection.sendall(b"\x00\x01 no answer at all\r\n\r\n")
     request.connection.close()
 
 
-def answer_short(request: ReceivedRequest) -> None:
+def answer_too_short(request: ReceivedRequest) -> None:
     request.connection.sendall(
         f"HTTP/1.1 200 OK\r\nAttempt-Id: {request.header('Attempt-Id')}\r\n"
         "Response-Signature: s\r\nContent-Length: 50\r\n\r\nshort".encode()
@@ -201,14 +203,14 @@
 @pytest.mark.parametrize(
     "behaviour",
     [
-        answer_of_another,
+        answer_another_attempt,
         answer_unsigned,
-        answer_nonsense,
-        answer_short,
+        answer_invalid_http,
+        answer_too_short,
         answer_unframed_then_reset,
     ],
 )
-def test_what_is_no_whole_answer_is_not_passed_on(front, behaviour) -> None:
+def test_invalid_or_incomplete_answer_is_not_forwarded(front, behaviour) -> None:
     front.add_engine("app", behaviour)
     front.start()
     status, headers, body, _ = front.ask("/once/x", method="POST")
@@ -216,7 +218,7 @@
     assert "response-signature" not in headers
 
 
-def test_an_unframed_answer_that_ends_well_is_whole(front) -> None:
+def test_unframed_answer_that_ends_cleanly_is_complete(front) -> None:
     def behaviour(request: ReceivedRequest) -> None:
         request.connection.sendall(
             f"HTTP/1.1 200 OK\r\nAttempt-Id: {request.header('Attempt-Id')}\r\n"
@@ -229,7 +231,7 @@
     assert front.ask("/once/x", method="POST")[2:] == (b"all of it", True)
 
 
-def test_a_failure_of_the_target_is_passed_on_as_it_is(front) -> None:
+def test_error_of_the_target_is_forwarded_unchanged(front) -> None:
     front.add_engine(
         "app", lambda request: send_response(request, b"no", "500 Its Own Reason")
     )
@@ -239,25 +241,25 @@
     assert headers["response-signature"] == "signed-by-engine"
 
 
-def test_a_silent_target_costs_no_more_than_the_routes_time(front) -> None:
-    silence = Event()
-    engine = front.add_engine("app", lambda request: silence.wait(10) and None)
+def test_silent_target_is_aborted_at_the_route_timeout(front) -> None:
+    release = Event()
+    engine = front.add_engine("app", lambda request: release.wait(10) and None)
     front.start()
     assert front.ask("/short/x")[0] == 504
     assert front.engines[0].wait_until_closed(engine.requests[0])
-    silence.set()
+    release.set()
 
 
-def test_a_caller_that_leaves_ends_the_targets_work(front) -> None:
-    silence = Event()
-    engine = front.add_engine("app", lambda request: silence.wait(10) and None)
+def test_client_disconnect_ends_the_request_at_the_target(front) -> None:
+    release = Event()
+    engine = front.add_engine("app", lambda request: release.wait(10) and None)
     front.start()
     connection = front.open()
     front.send(connection, "/safe/x")
     [request] = engine.wait_for_requests(1)
     connection.close()
     assert engine.wait_until_closed(request, 2.0)
-    silence.set()
+    release.set()
     assert len(engine.requests) == 1
 
 
@@ -273,7 +275,7 @@
     return behaviour
 
 
-def test_events_are_passed_on_as_they_come(front) -> None:
+def test_events_are_forwarded_as_they_arrive(front) -> None:
     proceed = Event()
 
     def behaviour(request: ReceivedRequest) -> None:
@@ -298,46 +300,48 @@
     assert file.read(size) == format_event(2)
 
 
-def test_a_stream_goes_on_at_another_target(front) -> None:
-    def torn(request: ReceivedRequest) -> None:
+def test_stream_resumes_at_another_target(front) -> None:
+    def send_interrupted(request: ReceivedRequest) -> None:
         send_stream_head(request)
         send_events(request, 1, 3)
         send_chunk(request, b"id: 4\ndata: half an ev")
         reset_connection(request)
 
-    def rest(request: ReceivedRequest) -> None:
+    def send_remainder(request: ReceivedRequest) -> None:
         after = int(request.header("Last-Event-Id") or 0)
         send_stream_head(request)
-        # A target may repeat what the caller has had.
+        # A target may repeat events that the client has received.
         send_events(request, max(1, after), 6)
         send_chunk(request, b"")
 
-    first = front.add_engine("llm", torn, zone="a")
-    front.add_engine("llm", rest, zone="b")
+    first_engine = front.add_engine("llm", send_interrupted, zone="a")
+    front.add_engine("llm", send_remainder, zone="b")
     front.start()
-    status, headers, body, whole = front.ask("/stream/x", method="POST", extra=STREAM)
-    assert first.requests
-    assert (status, whole) == (200, True)
+    status, headers, body, is_complete = front.ask(
+        "/stream/x", method="POST", extra=STREAM
+    )
+    assert first_engine.requests
+    assert (status, is_complete) == (200, True)
     assert headers["response-signature"] == "signed-by-engine"
     assert body == b"".join(format_event(number) for number in range(1, 7))
 
 
-def test_a_stream_that_may_not_be_resumed_ends_torn(front) -> None:
-    def torn(request: ReceivedRequest) -> None:
+def test_stream_that_may_not_be_resumed_ends_incomplete(front) -> None:
+    def send_interrupted(request: ReceivedRequest) -> None:
         send_stream_head(request)
         send_events(request, 1, 3)
         reset_connection(request)
 
-    front.add_engine("llm", torn, zone="a")
+    front.add_engine("llm", send_interrupted, zone="a")
     other = front.add_engine("llm", stream(1, 3), zone="b")
     front.start()
-    _, _, body, whole = front.ask("/once-stream/x", method="POST", extra=STREAM)
-    assert not whole
+    _, _, body, is_complete = front.ask("/once-stream/x", method="POST", extra=STREAM)
+    assert not is_complete
     assert body == b"".join(format_event(number) for number in range(1, 4))
     assert other.requests == []
 
 
-def test_a_caller_that_leaves_mid_stream_ends_the_targets_work(front) -> None:
+def test_client_disconnect_mid_stream_ends_the_stream_at_the_target(front) -> None:
     proceed = Event()
 
     def behaviour(request: ReceivedRequest) -> None:
@@ -356,31 +360,31 @@
     assert len(engine.requests) == 1
 
 
-def test_an_engine_without_weights_gets_no_request(front) -> None:
+def test_engine_without_weights_gets_no_request(front) -> None:
     empty = front.add_engine("llm", stream(1, 2), version=0)
     front.start()
     assert front.ask("/stream/x", method="POST", extra=STREAM)[0] == 503
     assert empty.requests == []
 
 
-def test_a_frozen_gateway_does_not_resend_for_callers_that_left(front) -> None:
-    held: list[ReceivedRequest] = []
+def test_frozen_gateway_does_not_retry_for_disconnected_clients(front) -> None:
+    held_requests: list[ReceivedRequest] = []
 
     def hold(request: ReceivedRequest) -> None:
-        held.append(request)
+        held_requests.append(request)
 
     engines = [front.add_engine("app", hold) for _ in range(2)]
     front.start()
-    callers = [front.open() for _ in range(8)]
-    for caller in callers:
-        front.send(caller, "/safe/x")
-    front.wait_until(lambda: len(held) == len(callers))
+    clients = [front.open() for _ in range(8)]
+    for client in clients:
+        front.send(client, "/safe/x")
+    front.wait_until(lambda: len(held_requests) == len(clients))
     gateway = front.gateway.running
     gateway.send_signal(signal.SIGSTOP)
-    for request in list(held):
+    for request in list(held_requests):
         reset_connection(request)
-    for caller in callers:
-        caller.close()
+    for client in clients:
+        client.close()
     gateway.send_signal(signal.SIGCONT)
     front.wait_until(
         lambda: front.gateway.events_path.read_text().count("caller gone") == 8
@@ -388,8 +392,8 @@
     assert sum(len(engine.requests) for engine in engines) == 8
 
 
-def test_what_is_stuck_on_the_way_is_taken_back_once_the_caller_leaves(front) -> None:
-    """A slow link between gateway and engine: a small buffer that is read late."""
+def test_request_in_transit_is_withdrawn_on_client_disconnect(front) -> None:
+    """A small receive buffer that is read late imitates a slow link to the engine."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     listener.bind(("127.0.0.1", 0))
@@ -399,16 +403,16 @@
     engine.listener = listener
     front.list_engine(engine, "app")
     front.start()
-    caller = front.open()
+    client = front.open()
     body = bytes(90_000)
-    front.send(caller, "/safe/x", body, method="POST")
+    front.send(client, "/safe/x", body, method="POST")
     connection, _ = listener.accept()
     front.wait_until(lambda: len(connection.recv(100, socket.MSG_PEEK)) == 100)
-    caller.close()
+    client.close()
     front.gateway.wait_event("request-ended")
     connection.settimeout(5.0)
     received = b""
     with pytest.raises(ConnectionResetError):
-        while piece := connection.recv(65536):
-            received += piece
+        while data := connection.recv(65536):
+            received += data
     assert len(received) < len(body)
