--- a/tests/platform/test_old_decisions.py
+++ b/tests/platform/test_old_decisions.py
@@ -3,9 +3,11 @@
 A write without an answer is repeated, and the first write may take effect late: version
 2 is announced (offset 13 of the decisions), then version 3 (offset 14), then version 2
 again (offset 15). Running processes keep version 3, but a process that restarts reads
-the newest record of each key, which is version 2. Engines that served version 3 were
-then set back to version 2 after a restart of all processes, and requests started on
-version 2 32 s after the acknowledgement of version 3.
+the newest record of each key, which is version 2. Before a restart of all processes,
+they applied versions 2 and 3 at offsets 13 and 14; after the restart every process
+applied version 2 at offset 15 and none applied version 3. Engines that served version 3
+were set back to version 2, and requests started on version 2 32 s after the
+acknowledgement of version 3.
 """
 
 from collections.abc import Iterator
