--- a/tests/platform/test_needless_draws.py
+++ b/tests/platform/test_needless_draws.py
@@ -55,12 +55,12 @@
     limit = origin.send_limit = origin.sent + 2
     hub_site.store.put_version(MODEL, 2)
     origin.wait_until(lambda: origin.sent == limit)
-    hub_site.places[hub].running.terminate()
+    hub_site.places[hub].started_process.terminate()
     hub_site.loader.wait_event("gateways-known", detail={"gateways": [successor]})
     origin.release()
     hub_site.wait_serving(2)
     hub_site.places[successor].wait_event("version-complete", version="2")
-    assert hub_site.places[hub].running.wait(10) == 0
+    assert hub_site.places[hub].started_process.wait(10) == 0
     assert chunk_calls(hub_site) <= fetched_before + CHUNKS + ORIGIN_FETCHES
 
 
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -379,7 +379,7 @@
     for client in clients:
         front.send(client, "/safe/x")
     front.wait_until(lambda: len(held_requests) == len(clients))
-    gateway = front.gateway.running
+    gateway = front.gateway.started_process
     gateway.send_signal(signal.SIGSTOP)
     for request in list(held_requests):
         reset_connection(request)
