--- a/tests/platform/test_letting_in.py
+++ b/tests/platform/test_letting_in.py
@@ -66,12 +66,12 @@
 def test_client_that_waited_longer_is_never_preferred(
     waited: float, extra: float, wait: float, occupancy: float
 ) -> None:
-    first = excess_wait(make_estimate(waited=waited, wait=wait, occupancy=occupancy))
-    second = excess_wait(
+    excess = excess_wait(make_estimate(waited=waited, wait=wait, occupancy=occupancy))
+    longer_wait_excess = excess_wait(
         make_estimate(waited=waited + extra, wait=wait, occupancy=occupancy)
     )
     if waited < 0.4:
-        assert first is None or second is not None
+        assert excess is None or longer_wait_excess is not None
 
 
 def test_no_request_is_refused_while_slots_are_free() -> None:
--- a/tests/platform/test_name_dates.py
+++ b/tests/platform/test_name_dates.py
@@ -91,7 +91,7 @@
 
 
 @pytest.fixture
-def loaded(tmp_path: Path) -> Iterator[LoadedSite]:
+def loaded_site(tmp_path: Path) -> Iterator[LoadedSite]:
     site = LoadedSite(tmp_path)
     yield site
     site.close()
@@ -140,26 +140,28 @@
     stream(1, 2)(request)
 
 
-def test_request_that_would_start_after_the_bound_is_not_sent(loaded) -> None:
+def test_request_that_would_start_after_the_bound_is_not_sent(loaded_site) -> None:
     """Requests waited 3 times as long as estimated and were withdrawn.
 
     The delays of the gateway's own recent requests allow their refusal at once.
     """
-    loaded.settings["bounds"]["version_ms"] = int(BOUND_SECONDS * 1000)
-    loaded.path.write_bytes(encode(loaded.settings))
+    loaded_site.settings["bounds"]["version_ms"] = int(BOUND_SECONDS * 1000)
+    loaded_site.path.write_bytes(encode(loaded_site.settings))
     config = make_config()
     patient = make_route("/patient/", "streaming", "llm", target_latency_ms=6000)
     config["routes"].append(patient)
-    loaded.start(config)
-    engine = loaded.engines[0]
+    loaded_site.start(config)
+    engine = loaded_site.engines[0]
     engine.behaviour = start_late
-    loaded.store.put_version(MODEL, 2)
-    bound = loaded.store.version_put_at[MODEL, 2] + BOUND_SECONDS
-    loaded.gateway.wait_event("version-named", version="2")
+    loaded_site.store.put_version(MODEL, 2)
+    bound = loaded_site.store.version_put_at[MODEL, 2] + BOUND_SECONDS
+    loaded_site.gateway.wait_event("version-named", version="2")
 
     def send_until(limit: float) -> int:
         while monotonic() < limit:
-            loaded.send(loaded.open(), "/patient/x", extra=(f"Model: {MODEL}",))
+            loaded_site.send(
+                loaded_site.open(), "/patient/x", extra=(f"Model: {MODEL}",)
+            )
             sleep(REQUEST_INTERVAL_SECONDS)
         return len(engine.requests)
 
--- a/tests/platform/test_needless_draws.py
+++ b/tests/platform/test_needless_draws.py
@@ -37,7 +37,7 @@
 from ridgecourse.gateway.hub_context import ORIGIN_FETCHES
 from ridgecourse.gateway.prefetch import Prefetch
 
-SECOND = (ModelName(MODEL), WeightsVersion(2))
+SECOND_VERSION = (ModelName(MODEL), WeightsVersion(2))
 
 
 @pytest.fixture
@@ -66,10 +66,10 @@
 
 def test_stopping_gateway_starts_no_fetch() -> None:
     hub = make_hub()
-    hub.request_version(SECOND)
-    assert list(hub.fetching) == [SECOND]
+    hub.request_version(SECOND_VERSION)
+    assert list(hub.fetching) == [SECOND_VERSION]
     hub.withdraw()
-    hub.request_version(SECOND)
+    hub.request_version(SECOND_VERSION)
     assert not hub.fetching
 
 
@@ -78,7 +78,7 @@
 
     def _copy_staged(self, key: VersionKey, service: Service) -> None:
         now = Seconds(monotonic())
-        self.hub.view.history(key[0]).record_version(SECOND[1], now, now)
+        self.hub.view.history(key[0]).record_version(SECOND_VERSION[1], now, now)
 
 
 def test_prefetch_skips_a_superseded_version() -> None:
@@ -90,11 +90,11 @@
     """
     hub = make_hub()
     hub.fetch = Mock()  # type: ignore[method-assign]
-    first = (SECOND[0], WeightsVersion(1))
-    hub.fetching[first] = Mock()
-    SupersededPrefetch(hub)._fetch_staged(first, Mock())
+    first_version = (SECOND_VERSION[0], WeightsVersion(1))
+    hub.fetching[first_version] = Mock()
+    SupersededPrefetch(hub)._fetch_staged(first_version, Mock())
     hub.fetch.assert_not_called()
-    assert first not in hub.fetching
+    assert first_version not in hub.fetching
 
 
 def make_late_hub(newer_age: float, held_count: int) -> Hub:
@@ -110,15 +110,15 @@
     origin = hub.view.config = type("Config", (), {})()
     origin.origin = type("Place", (), {"bytes_per_s": 16.0})()
     now = Seconds(monotonic())
-    history = hub.view.history(SECOND[0])
-    history.record_version(SECOND[1], now, Seconds(now - newer_age - 3.0))
+    history = hub.view.history(SECOND_VERSION[0])
+    history.record_version(SECOND_VERSION[1], now, Seconds(now - newer_age - 3.0))
     history.record_version(WeightsVersion(3), now, Seconds(now - newer_age))
     digests = tuple(ChunkDigest(f"{n:064x}") for n in range(4))
     manifest = Manifest(8, (FileEntry("weights", 32, digests),))
     holding = Holding(RootDigest("root"), manifest, b"")
     for digest in digests[:held_count]:
         holding.add_held(digest)
-    hub.catalogue.holdings[SECOND] = holding
+    hub.catalogue.holdings[SECOND_VERSION] = holding
     return hub
 
 
@@ -130,12 +130,12 @@
     newer_age: float, held_count: int, needed: bool
 ) -> None:
     hub = make_late_hub(newer_age, held_count)
-    assert hub.is_needed(SECOND) is needed
+    assert hub.is_needed(SECOND_VERSION) is needed
 
 
 def test_hub_starts_no_fetch_once_the_successor_is_required() -> None:
     hub = make_late_hub(8.1, 3)
-    hub.request_version(SECOND)
+    hub.request_version(SECOND_VERSION)
     assert not hub.fetching
     end_work(hub)
 
@@ -143,5 +143,5 @@
 def test_hub_fetches_the_older_version_if_the_newer_one_has_no_date() -> None:
     hub = make_hub()
     now = Seconds(monotonic())
-    hub.view.history(SECOND[0]).record_version(WeightsVersion(3), now, None)
-    assert hub.is_needed(SECOND)
+    hub.view.history(SECOND_VERSION[0]).record_version(WeightsVersion(3), now, None)
+    assert hub.is_needed(SECOND_VERSION)
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -17,7 +17,7 @@
     send_stream_head,
 )
 
-STREAM = ("Model: m0", "Token-Usage: 100,50")
+STREAM_HEADERS = ("Model: m0", "Token-Usage: 100,50")
 
 
 def test_request_reaches_its_target_unaltered(front) -> None:
@@ -288,7 +288,7 @@
     front.add_engine("llm", behaviour)
     front.start()
     connection = front.open()
-    front.send(connection, "/stream/x", method="POST", extra=STREAM)
+    front.send(connection, "/stream/x", method="POST", extra=STREAM_HEADERS)
     file = connection.makefile("rb")
     while file.readline() != b"\r\n":
         pass
@@ -318,7 +318,7 @@
     front.add_engine("llm", send_remainder, zone="b")
     front.start()
     status, headers, body, is_complete = front.ask(
-        "/stream/x", method="POST", extra=STREAM
+        "/stream/x", method="POST", extra=STREAM_HEADERS
     )
     assert first_engine.requests
     assert (status, is_complete) == (200, True)
@@ -335,7 +335,9 @@
     front.add_engine("llm", send_interrupted, zone="a")
     other = front.add_engine("llm", stream(1, 3), zone="b")
     front.start()
-    _, _, body, is_complete = front.ask("/once-stream/x", method="POST", extra=STREAM)
+    _, _, body, is_complete = front.ask(
+        "/once-stream/x", method="POST", extra=STREAM_HEADERS
+    )
     assert not is_complete
     assert body == b"".join(format_event(number) for number in range(1, 4))
     assert other.requests == []
@@ -352,7 +354,7 @@
     engine = front.add_engine("llm", behaviour)
     front.start()
     connection = front.open()
-    front.send(connection, "/stream/x", method="POST", extra=STREAM)
+    front.send(connection, "/stream/x", method="POST", extra=STREAM_HEADERS)
     assert connection.recv(100)
     connection.close()
     assert engine.wait_until_closed(engine.requests[0], 2.0)
@@ -363,7 +365,7 @@
 def test_engine_without_weights_gets_no_request(front) -> None:
     empty = front.add_engine("llm", stream(1, 2), version=0)
     front.start()
-    assert front.ask("/stream/x", method="POST", extra=STREAM)[0] == 503
+    assert front.ask("/stream/x", method="POST", extra=STREAM_HEADERS)[0] == 503
     assert empty.requests == []
 
 
