--- a/tests/platform/test_stop.py
+++ b/tests/platform/test_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop of a gateway cuts nothing off."""
+"""A gateway that is stopped by SIGTERM cuts off no request in progress."""
 
 import signal
 import socket
@@ -18,7 +18,7 @@
 STREAM = ("Model: m0", "Token-Usage: 100,50")
 
 
-def is_refused(front) -> bool:
+def is_connection_refused(front) -> bool:
     try:
         socket.create_connection(front.frontend, 1.0).close()
     except OSError:
@@ -26,48 +26,51 @@
     return False
 
 
-def test_a_stop_ends_readiness_then_listening_then_the_process(front) -> None:
+def test_stop_ends_readiness_then_listening_then_process(front) -> None:
     proceed = Event()
 
-    def slow_stream(request: ReceivedRequest) -> None:
+    def send_paused_stream(request: ReceivedRequest) -> None:
         send_stream_head(request)
         send_events(request, 1, 1)
         assert proceed.wait(20)
         send_events(request, 2, 3)
         send_chunk(request, b"")
 
-    front.add_engine("llm", slow_stream)
+    front.add_engine("llm", send_paused_stream)
     front.add_engine("app", send_response)
     front.start()
-    streaming = front.open()
-    front.send(streaming, "/stream/x", method="POST", extra=STREAM, deadline_ms=8000)
-    idle = front.open()
-    front.send(idle, "/safe/x")
-    assert receive_answer(idle)[0] == 200
+    stream_connection = front.open()
+    front.send(
+        stream_connection, "/stream/x", method="POST", extra=STREAM, deadline_ms=8000
+    )
+    idle_connection = front.open()
+    front.send(idle_connection, "/safe/x")
+    assert receive_answer(idle_connection)[0] == 200
     front.gateway.running.send_signal(signal.SIGTERM)
     front.wait_until(lambda: front.ready() == 503)
-    # The balancer has not noticed yet: new requests are served, and as usual.
+    # The load balancer has not yet seen the failed readiness check: the gateway serves
+    # new requests as usual.
     status, headers, _, _ = front.ask("/safe/x")
     assert status == 200
     assert headers.get("connection") != "close"
-    front.wait_until(lambda: is_refused(front))
-    assert idle.recv(1) == b""
+    front.wait_until(lambda: is_connection_refused(front))
+    assert idle_connection.recv(1) == b""
     assert front.gateway.running.poll() is None
     proceed.set()
-    _, _, body, whole = receive_answer(streaming)
-    assert whole
+    _, _, body, is_complete = receive_answer(stream_connection)
+    assert is_complete
     assert body == b"".join(format_event(number) for number in range(1, 4))
     assert front.gateway.running.wait(10) == 0
 
 
-def test_a_stop_without_requests_ends_soon_after_the_balancer_looked(front) -> None:
+def test_stop_without_requests_ends_soon_after_readiness_check(front) -> None:
     front.add_engine("app")
     front.start()
     front.gateway.running.send_signal(signal.SIGTERM)
     assert front.gateway.running.wait(6) == 0
 
 
-def test_signals_that_say_settings_changed_end_nothing(front) -> None:
+def test_sighup_does_not_stop_gateway(front) -> None:
     front.add_engine("app")
     front.start()
     front.gateway.running.send_signal(signal.SIGHUP)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""What a gateway believes while its store fails in one way or another."""
+"""A gateway keeps serving and applies the right decisions while its store fails."""
 
 import socket
 from os import getpid
@@ -13,7 +13,7 @@
 from ridgecourse_standins.platform.store import StoreMode
 
 
-def test_a_new_configuration_is_in_force_within_its_bound(front) -> None:
+def test_new_configuration_is_in_force_within_its_bound(front) -> None:
     front.add_engine("app")
     front.start()
     assert front.ask("/new/x")[0] == 404
@@ -23,20 +23,20 @@
     front.wait_until(lambda: front.ask("/new/x")[0] == 200, 2.0)
 
 
-def test_an_older_configuration_never_replaces_a_newer(front) -> None:
+def test_older_configuration_never_replaces_newer_one(front) -> None:
     front.add_engine("app")
-    newer = make_config(5)
-    newer["routes"].append(make_route("/new/", "safe", "app"))
-    front.start(newer)
+    newer_config = make_config(5)
+    newer_config["routes"].append(make_route("/new/", "safe", "app"))
+    front.start(newer_config)
     front.store.put_config(make_config(4))
-    front.store.put_config({**newer, "version": 6})
+    front.store.put_config({**newer_config, "version": 6})
     front.wait_until(
         lambda: front.gateway.events_path.read_text().count("config-folded") == 2
     )
     assert front.ask("/new/x")[0] == 200
 
 
-def test_a_gateway_serves_on_while_the_store_is_away(front) -> None:
+def test_gateway_keeps_serving_during_store_outage(front) -> None:
     engine = front.add_engine("app")
     front.start()
     for mode in (StoreMode.DOWN, StoreMode.SILENT):
@@ -48,7 +48,7 @@
     assert len(engine.requests) == 2
 
 
-def test_a_target_that_lapsed_in_an_outage_is_kept_until_it_returns(
+def test_target_removed_during_outage_is_kept_until_it_returns(
     front,
 ) -> None:
     engine = front.add_engine("app")
@@ -61,27 +61,27 @@
     front.wait_until(lambda: "log-back" in front.gateway.events_path.read_text())
     assert front.ask("/safe/x")[0] == 200
     front.list_engine(engine, "app")
-    sleep_until = monotonic() + 3.5
-    while monotonic() < sleep_until:
+    end = monotonic() + 3.5
+    while monotonic() < end:
         assert front.ask("/safe/x")[0] == 200
         sleep(0.2)
 
 
-def test_a_target_that_left_gets_no_request(front) -> None:
+def test_target_that_left_receives_no_request(front) -> None:
     engine = front.add_engine("app")
-    other = front.add_engine("app")
+    other_engine = front.add_engine("app")
     front.start()
     front.list_engine(engine, "app", state="draining")
     front.store.put_target("i-1", None)
-    begun = monotonic()
+    started_at = monotonic()
     front.wait_until(lambda: front.ask("/safe/x")[0] == 503, 2.0)
-    assert monotonic() - begun < 2.0
-    counts = len(engine.requests), len(other.requests)
+    assert monotonic() - started_at < 2.0
+    request_counts = len(engine.requests), len(other_engine.requests)
     assert front.ask("/safe/x")[0] == 503
-    assert (len(engine.requests), len(other.requests)) == counts
+    assert (len(engine.requests), len(other_engine.requests)) == request_counts
 
 
-def test_a_forgotten_history_is_read_from_the_newest_records(front) -> None:
+def test_compacted_topic_is_read_from_its_newest_records(front) -> None:
     front.add_engine("app")
     front.start()
     for number in range(3):
@@ -95,7 +95,7 @@
     front.wait_until(lambda: front.ask("/new/x")[0] == 200)
 
 
-def test_a_key_taken_away_is_refused(front) -> None:
+def test_removed_api_key_is_rejected(front) -> None:
     front.add_engine("app", send_response)
     front.start()
     assert front.ask("/safe/x")[0] == 200
@@ -105,11 +105,14 @@
     front.wait_until(lambda: front.ask("/safe/x")[0] == 401, 2.0)
 
 
-def test_who_may_be_behind_sends_callers_elsewhere_and_does_not_reject(front) -> None:
-    """A rejection is final for a caller, and callers of new routes and keys got it.
+def test_gateway_with_stale_data_refers_clients_elsewhere_instead_of_rejecting(
+    front,
+) -> None:
+    """A gateway with stale data answers 503 instead of 404 and 401.
 
-    Gateways that had not heard of the store for long answered 404 and 401 for what they
-    did not know; another one might have known it.
+    A rejection is final for a client. Gateways whose data the store had not confirmed
+    for long rejected requests for new routes and keys with 404 and 401, although
+    another gateway might have known the route or key.
     """
     front.add_engine("app")
     front.start()
@@ -125,10 +128,11 @@
     front.wait_until(lambda: front.ask("/new/x")[0] == 404, 5.0)
 
 
-def use_own_figures(front) -> tuple[str, int]:
-    """Return where a gateway's figures will be, out of the way of other runs.
+def use_exclusive_metrics_address(front) -> tuple[str, int]:
+    """Set an address for the gateway's metrics; return the address and the port.
 
-    The port is fixed: an address of its own keeps other test runs' figures away.
+    The port is fixed, so an exclusive address keeps the metrics of other test runs
+    apart.
     """
     host = f"127.{1 + getpid() % 250}.{1 + getpid() // 250 % 250}.1"
     front.settings["ip"] = host
@@ -136,43 +140,43 @@
     return host, METRICS_PORT
 
 
-def test_a_gateway_starts_where_the_port_of_the_figures_is_taken(front) -> None:
-    taken = socket.create_server(use_own_figures(front))
-    with taken:
+def test_gateway_starts_if_metrics_port_is_in_use(front) -> None:
+    occupied_port = socket.create_server(use_exclusive_metrics_address(front))
+    with occupied_port:
         front.add_engine("app")
         front.start()
         assert front.ask("/safe/x")[0] == 200
 
 
-def read_figures(address: tuple[str, int]) -> tuple[int, bytes]:
+def fetch_metrics(address: tuple[str, int]) -> tuple[int, bytes]:
     with socket.create_connection(address, 5.0) as connection:
         connection.sendall(b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
         status, _, body, _ = receive_answer(connection)
     return status, body
 
 
-def test_figures_are_served_as_text(front) -> None:
-    address = use_own_figures(front)
+def test_metrics_are_served_as_text(front) -> None:
+    address = use_exclusive_metrics_address(front)
     front.add_engine("app")
     front.start()
     assert front.ask("/safe/x")[0] == 200
-    status, body = read_figures(address)
+    status, body = fetch_metrics(address)
     assert status == 200
     assert b"ridgecourse_requests_total 1\n" in body
     assert b'ridgecourse_first_answer_seconds_bucket{le="8.0"} 1\n' in body
 
 
-def test_the_lag_of_the_event_loop_is_told(front) -> None:
-    """Whether a process was late for its timers shows in its figures."""
-    address = use_own_figures(front)
+def test_event_loop_lag_is_in_metrics(front) -> None:
+    """The metrics show whether the timers of a process ran late."""
+    address = use_exclusive_metrics_address(front)
     front.start()
     front.gateway.pause()
     sleep(0.7)
     front.gateway.resume()
 
-    def lag_seconds() -> float:
-        lines = read_figures(address)[1].decode().splitlines()
-        sums = [line for line in lines if "loop_lag_seconds_sum" in line]
-        return float(sums[0].split()[1]) if sums else 0.0
+    def loop_lag_seconds() -> float:
+        lines = fetch_metrics(address)[1].decode().splitlines()
+        sum_lines = [line for line in lines if "loop_lag_seconds_sum" in line]
+        return float(sum_lines[0].split()[1]) if sum_lines else 0.0
 
-    front.wait_until(lambda: lag_seconds() > 0.4)
+    front.wait_until(lambda: loop_lag_seconds() > 0.4)
--- a/tests/platform/test_targets.py
+++ b/tests/platform/test_targets.py
@@ -1,4 +1,4 @@
-"""The list of targets against a simple oracle, and its outages."""
+"""The list of targets agrees with a simple oracle, also during outages of the store."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import (
@@ -23,12 +23,12 @@
     TargetRecord,
 )
 
-NAMES = [TargetId(f"i-{number}") for number in range(4)]
+TARGET_IDS = [TargetId(f"i-{number}") for number in range(4)]
 
 
-def make_target(name: TargetId, leaving: bool = False) -> ListedTarget:
+def make_target(target_id: TargetId, leaving: bool = False) -> ListedTarget:
     return ListedTarget(
-        target=name,
+        target=target_id,
         service=ServiceName("llm"),
         address="127.0.0.1:1",
         domain=DomainName("a"),
@@ -40,76 +40,83 @@
 
 
 class TargetListMachine(RuleBasedStateMachine):
-    """Records arrive late, twice and out of order; the store goes away and back.
+    """Records arrive late, duplicated and out of order, and outages of the store end.
 
-    The oracle is the stream itself: what its newest record of a target says,
-    but for removals within the time in which they are not believed.
+    The oracle is the stream itself: the newest record of a target decides, except for
+    removals during the time after an outage in which removals are deferred.
     """
 
     @initialize()
-    def begin(self) -> None:
+    def create_list(self) -> None:
         self.list = TargetList()
         self.now = Seconds(100.0)
         self.stream: list[TargetRecord] = []
-        self.seen: dict[TargetId, TargetRecord] = {}
-        self.kept: dict[TargetId, Seconds] = {}
-        self.believed_from = Seconds(0.0)
+        self.newest_records: dict[TargetId, TargetRecord] = {}
+        self.deferred_removals: dict[TargetId, Seconds] = {}
+        self.removals_valid_from = Seconds(0.0)
 
-    @rule(name=st.sampled_from(NAMES), kind=st.sampled_from(["in", "leaving", "gone"]))
-    def write(self, name: TargetId, kind: str) -> None:
-        entry = None if kind == "gone" else make_target(name, kind == "leaving")
-        self.stream.append(TargetRecord(name, Offset(len(self.stream)), entry))
+    @rule(
+        target_id=st.sampled_from(TARGET_IDS),
+        kind=st.sampled_from(["in", "leaving", "gone"]),
+    )
+    def write_record(self, target_id: TargetId, kind: str) -> None:
+        entry = None if kind == "gone" else make_target(target_id, kind == "leaving")
+        self.stream.append(TargetRecord(target_id, Offset(len(self.stream)), entry))
 
     @precondition(lambda self: self.stream)
     @rule(data=st.data())
-    def deliver(self, data: st.DataObject) -> None:
+    def deliver_records(self, data: st.DataObject) -> None:
         records = data.draw(st.lists(st.sampled_from(self.stream), max_size=4))
         self.list.apply(records, self.now)
         for record in records:
-            self.note(record)
+            self.record_delivery(record)
 
-    def note(self, record: TargetRecord) -> None:
-        known = self.seen.get(record.target)
-        if known is not None and known.offset >= record.offset:
+    def record_delivery(self, record: TargetRecord) -> None:
+        known_record = self.newest_records.get(record.target)
+        if known_record is not None and known_record.offset >= record.offset:
             return
-        was_listed = (known is not None and known.entry is not None) or (
-            record.target in self.kept
+        was_listed = (known_record is not None and known_record.entry is not None) or (
+            record.target in self.deferred_removals
         )
-        self.seen[record.target] = record
+        self.newest_records[record.target] = record
         if record.entry is not None:
-            self.kept.pop(record.target, None)
-        elif was_listed and self.now < self.believed_from:
-            self.kept.setdefault(record.target, self.believed_from)
+            self.deferred_removals.pop(record.target, None)
+        elif was_listed and self.now < self.removals_valid_from:
+            self.deferred_removals.setdefault(record.target, self.removals_valid_from)
         else:
-            self.kept.pop(record.target, None)
+            self.deferred_removals.pop(record.target, None)
 
     @rule()
     def outage_ends(self) -> None:
         self.list.record_outage_end(self.now)
-        self.believed_from = Seconds(self.now + RETURN_SECONDS)
+        self.removals_valid_from = Seconds(self.now + RETURN_SECONDS)
 
     @rule(seconds=st.floats(0.1, 3.0))
-    def wait(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         self.now = Seconds(self.now + seconds)
-        gone = set(self.list.expire(self.now))
-        expected = {name for name, end in self.kept.items() if end <= self.now}
-        assert gone == expected
-        for name in expected:
-            del self.kept[name]
+        expired = set(self.list.expire(self.now))
+        expected = {
+            target_id
+            for target_id, end in self.deferred_removals.items()
+            if end <= self.now
+        }
+        assert expired == expected
+        for target_id in expected:
+            del self.deferred_removals[target_id]
 
     @invariant()
-    def holds_what_the_stream_says(self) -> None:
+    def list_agrees_with_stream(self) -> None:
         listed = {
-            name: record.entry
-            for name, record in self.seen.items()
+            target_id: record.entry
+            for target_id, record in self.newest_records.items()
             if record.entry is not None
         }
-        assert set(self.list.targets) == set(listed) | set(self.kept)
-        for name, entry in listed.items():
-            assert self.list.targets[name] == entry
+        assert set(self.list.targets) == set(listed) | set(self.deferred_removals)
+        for target_id, entry in listed.items():
+            assert self.list.targets[target_id] == entry
 
     @invariant()
-    def offers_no_leaving_target(self) -> None:
+    def list_offers_no_leaving_target(self) -> None:
         for target in self.list.of_service(ServiceName("llm")):
             assert not target.leaving
 
@@ -117,26 +124,28 @@
 TestTargetList = TargetListMachine.TestCase
 
 
-def test_a_whole_list_removes_what_it_lacks() -> None:
+def test_snapshot_removes_missing_targets() -> None:
     targets = TargetList()
-    first = [
-        TargetRecord(name, Offset(i), make_target(name)) for i, name in enumerate(NAMES)
+    initial_records = [
+        TargetRecord(target_id, Offset(number), make_target(target_id))
+        for number, target_id in enumerate(TARGET_IDS)
     ]
-    targets.apply(first, Seconds(0.0))
-    targets.replace(first[:2], Seconds(10.0))
-    assert set(targets.targets) == set(NAMES[:2])
+    targets.apply(initial_records, Seconds(0.0))
+    targets.replace(initial_records[:2], Seconds(10.0))
+    assert set(targets.targets) == set(TARGET_IDS[:2])
 
 
-def test_a_whole_list_after_an_outage_waits_for_those_that_return() -> None:
+def test_snapshot_after_outage_keeps_targets_that_may_return() -> None:
     targets = TargetList()
-    first = [
-        TargetRecord(name, Offset(i), make_target(name)) for i, name in enumerate(NAMES)
+    initial_records = [
+        TargetRecord(target_id, Offset(number), make_target(target_id))
+        for number, target_id in enumerate(TARGET_IDS)
     ]
-    targets.apply(first, Seconds(0.0))
+    targets.apply(initial_records, Seconds(0.0))
     targets.record_outage_end(Seconds(10.0))
-    targets.replace(first[:2], Seconds(10.1))
-    assert set(targets.targets) == set(NAMES)
-    back = TargetRecord(NAMES[2], Offset(9), make_target(NAMES[2]))
-    targets.apply([back], Seconds(11.0))
-    assert list(targets.expire(Seconds(13.0))) == [NAMES[3]]
-    assert set(targets.targets) == set(NAMES[:3])
+    targets.replace(initial_records[:2], Seconds(10.1))
+    assert set(targets.targets) == set(TARGET_IDS)
+    returned_record = TargetRecord(TARGET_IDS[2], Offset(9), make_target(TARGET_IDS[2]))
+    targets.apply([returned_record], Seconds(11.0))
+    assert list(targets.expire(Seconds(13.0))) == [TARGET_IDS[3]]
+    assert set(targets.targets) == set(TARGET_IDS[:3])
