--- a/tests/platform/test_short_waits.py
+++ b/tests/platform/test_short_waits.py
@@ -1,13 +1,13 @@
 """A loader keeps an available version whose turn to switch is near.
 
 The tests guard against a failure in which a loader abandoned such a version 20 ms
-before its turn. Version 2 was available at the loader 3.93 s after its announcement,
-and its turn came 4.50 s after the announcement. Version 3 was announced meanwhile, and
-the hub had a quarter of it. All chunks of version 2 had been read back by 4.48 s; the
-event that then woke the loader came 20 ms before the turn, so the loader started
-version 3. This took 0.54 s, since the staging area is read first. The loader returned
-to version 2 at 5.33 s, too late for version 2 to be usable, and served neither version
-until the rest of version 3 was available.
+before its turn. Version 2 was available at the loader 3.93 s after it was named, and
+its turn came 4.50 s after it was named. Version 3 was named meanwhile, and the hub had
+a quarter of it. All chunks of version 2 had been read back by 4.48 s; the event that
+then woke the loader came 20 ms before the turn, so the loader started version 3. This
+took 0.54 s, since the staging area is read first. The loader returned to version 2 at
+5.33 s, too late for version 2 to be usable, and served neither version until the rest
+of version 3 was available.
 
 The events of this failure are `rollout-phase` of version 2 `staging` at 3.93 s, of
 version 3 `manifest` at 4.48 s and `transfer` at 5.02 s, `rollout-dropped` of version 3
--- a/tests/platform/test_staging_reads.py
+++ b/tests/platform/test_staging_reads.py
@@ -24,7 +24,7 @@
 from ridgecourse.platform.names import STAGE_GET_PATH
 
 REQUIRED_MS = 14_000
-"""Time from the announcement of a version until it is required: 3 s more than until the
+"""Time from the naming of a version until it is required: 3 s more than until the
 local loader has staged it."""
 KEY = f"{(MODEL, 2)}/start"
 HOST = "127.0.0.1"
--- a/tests/platform/test_target_reads.py
+++ b/tests/platform/test_target_reads.py
@@ -197,7 +197,7 @@
 
 
 def test_removal_missed_in_gap_is_forwarded() -> None:
-    """A reader of a snapshot after a gap sees only the remaining targets, no removal."""
+    """A snapshot after a gap contains the remaining targets and no removal."""
     topic_records = TopicRecords()
     change_filter = TargetChangeFilter(topic_records)
     apply_records(change_filter, [make_record("i-1", 5), make_record("i-2", 6)])
--- a/tests/platform/test_told_loads.py
+++ b/tests/platform/test_told_loads.py
@@ -1,7 +1,7 @@
-"""A look that finds what gateways reckon with anyway is not told.
+"""A loader does not report a load that the gateways already expect.
 
-Load pattern: 45 engines and 40 gateways, each engine looked at 20 times a second by its
-loader and all gateways of the region told each time; taking reports in was the largest
+With 45 engines and 40 gateways, a loader that polls its engine 20 times a second and
+reports to all gateways of the region each time makes the receipt of reports the largest
 part of a gateway's processor time beside its requests.
 """
 
@@ -18,12 +18,12 @@
 from ridgecourse.loader.status import UNCHANGED_REPORT_SECONDS, StatusFeed, Watcher
 from ridgecourse.net.address import Address
 
-LOOK_SECONDS = 0.05
-SILENT_LOOKS = round(UNCHANGED_REPORT_SECONDS / LOOK_SECONDS) + 1
+POLL_SECONDS = 0.05
+MAX_SILENT_POLLS = round(UNCHANGED_REPORT_SECONDS / POLL_SECONDS) + 1
 STATUS = EngineStatus(
     WeightsVersion(1), False, 2, 10, 40_000, 1_180_000, prefill_backlog=0.2
 )
-OTHERS: dict[str, Any] = {
+CHANGED_VALUES: dict[str, Any] = {
     "version": WeightsVersion(2),
     "busy": True,
     "queued": 3,
@@ -35,19 +35,19 @@
 }
 
 
-@pytest.mark.parametrize("field", OTHERS)
-def test_what_gateways_use_is_told(field: str) -> None:
-    other = structs.replace(STATUS, **{field: OTHERS[field]})
-    assert differs_from_reported(STATUS, Seconds(5.0), other, Seconds(5.0))
+@pytest.mark.parametrize("field", CHANGED_VALUES)
+def test_change_of_value_used_by_gateways_is_reported(field: str) -> None:
+    changed_status = structs.replace(STATUS, **{field: CHANGED_VALUES[field]})
+    assert differs_from_reported(STATUS, Seconds(5.0), changed_status, Seconds(5.0))
 
 
-def test_memory_and_time_that_passes_are_not() -> None:
-    later = structs.replace(STATUS, cache_used=41_000, prefill_backlog=0.15)
-    assert not differs_from_reported(STATUS, Seconds(5.0), later, Seconds(5.05))
-    assert differs_from_reported(STATUS, Seconds(5.0), later, Seconds(5.0))
+def test_cache_use_and_elapsed_time_are_not_reported() -> None:
+    later_status = structs.replace(STATUS, cache_used=41_000, prefill_backlog=0.15)
+    assert not differs_from_reported(STATUS, Seconds(5.0), later_status, Seconds(5.05))
+    assert differs_from_reported(STATUS, Seconds(5.0), later_status, Seconds(5.0))
 
 
-def test_a_first_load_is_told() -> None:
+def test_first_load_is_reported() -> None:
     assert differs_from_reported(None, Seconds(0.0), STATUS, Seconds(5.0))
 
 
@@ -59,46 +59,55 @@
     return feed
 
 
-def play(feed: StatusFeed, statuses: Iterator[EngineStatus]) -> list[int]:
-    """Look once for each status; return how many are told each time."""
-    told = []
-    for look, status in enumerate(statuses):
+def count_reports(feed: StatusFeed, statuses: Iterator[EngineStatus]) -> list[int]:
+    """Poll once for each status; return the number of reports sent by each poll."""
+    report_counts = []
+    for poll, status in enumerate(statuses):
         due: list[Address] = []
         feed.reports.send = lambda _, addresses, due=due: due.extend(addresses)  # type: ignore[method-assign]
-        feed._send_reports(status, Seconds(100.0 + look * LOOK_SECONDS))
-        told.append(len(due))
-    return told
+        feed._send_reports(status, Seconds(100.0 + poll * POLL_SECONDS))
+        report_counts.append(len(due))
+    return report_counts
 
 
-def draining(looks: int) -> Iterator[EngineStatus]:
-    """An engine that reads on, and whose memory fills up, while none come or go."""
-    for look in range(looks):
-        unread = max(0.0, STATUS.prefill_backlog - look * LOOK_SECONDS)
+def prefill_statuses(polls: int) -> Iterator[EngineStatus]:
+    """Yield statuses of an engine that prefills while no request starts or ends.
+
+    Its cache fills up, and its prefill backlog shrinks as time passes.
+    """
+    for poll in range(polls):
+        prefill_backlog = max(0.0, STATUS.prefill_backlog - poll * POLL_SECONDS)
         yield structs.replace(
-            STATUS, cache_used=40_000 + 500 * look, prefill_backlog=unread
+            STATUS, cache_used=40_000 + 500 * poll, prefill_backlog=prefill_backlog
         )
 
 
-def test_a_load_that_goes_as_reckoned_is_told_as_rarely_as_one_that_stays() -> None:
-    told = play(make_feed(15, 25), draining(37))
-    assert told[0] == 40
-    assert sum(told[1:]) <= 2 * 40
-    assert all(any(told[look : look + SILENT_LOOKS]) for look in range(20))
+def test_predicted_load_change_is_reported_as_rarely_as_no_change() -> None:
+    report_counts = count_reports(make_feed(15, 25), prefill_statuses(37))
+    assert report_counts[0] == 40
+    assert sum(report_counts[1:]) <= 2 * 40
+    assert all(any(report_counts[poll : poll + MAX_SILENT_POLLS]) for poll in range(20))
+
 
+def test_each_gateway_receives_change_made_within_its_interval() -> None:
+    """Gateways of other regions receive reports less often.
 
-def test_each_gateway_hears_of_a_change_that_came_within_its_interval() -> None:
-    """Those elsewhere are told less often; what they missed comes when it is time."""
+    A change that they missed is reported once their interval has passed.
+    """
     feed = make_feed(2, 60)
-    changes = [STATUS, structs.replace(STATUS, queued=3, prefill_backlog=0.2)]
-    told = play(feed, iter([changes[0], *changes[1:] * 24]))
-    assert told[0] == 62
-    assert told[1] == 2
-    assert sum(told[2:]) >= 60
+    statuses = [STATUS, structs.replace(STATUS, queued=3, prefill_backlog=0.2)]
+    report_counts = count_reports(feed, iter([statuses[0], *statuses[1:] * 24]))
+    assert report_counts[0] == 62
+    assert report_counts[1] == 2
+    assert sum(report_counts[2:]) >= 60
 
 
-def test_gateways_reckon_the_same_from_an_old_report() -> None:
-    load, fresh = EngineLoad(), EngineLoad()
-    load.record_report(STATUS, Seconds(5.0))
-    fresh.record_report(structs.replace(STATUS, prefill_backlog=0.1), Seconds(5.1))
+def test_old_and_fresh_reports_predict_same_backlog() -> None:
+    old_load, fresh_load = EngineLoad(), EngineLoad()
+    old_load.record_report(STATUS, Seconds(5.0))
+    fresh_load.record_report(structs.replace(STATUS, prefill_backlog=0.1), Seconds(5.1))
     now = Seconds(5.12)
-    assert abs(load.prefill_backlog(now, 4) - fresh.prefill_backlog(now, 4)) < 1e-9
+    assert (
+        abs(old_load.prefill_backlog(now, 4) - fresh_load.prefill_backlog(now, 4))
+        < 1e-9
+    )
--- a/tests/platform/test_weight_figures.py
+++ b/tests/platform/test_weight_figures.py
@@ -1,8 +1,9 @@
-"""Nothing told which link had carried weights while engines waited for them.
+"""The byte counters tell which link carried weights.
 
-Processes counted what came from the origin, from their failure domain and from all
-others together, and told it in an event that lived with a transfer. Whether the
-link between two regions or the one of the own domain was full could not be told.
+The tests guard against counters that do not show whether the link between two regions
+or the link of the local domain was full while engines waited for weights. Processes
+counted the bytes from the origin, from their failure domain and from all others
+together, and reported them only in an event that existed as long as the transfer.
 """
 
 from unittest.mock import Mock
@@ -59,7 +60,7 @@
     ("sender", "link"),
     [("hall-a", "domain"), ("hall-b", "region"), ("hall-c", "abroad")],
 )
-def test_bytes_of_weights_are_counted_by_link(sender: str, link: str) -> None:
+def test_weight_bytes_are_counted_by_link(sender: str, link: str) -> None:
     context, figures = make_context(Mock())
     context.count_received(PayloadKind.WEIGHTS, 700, DomainName(sender))
     context.count_received(PayloadKind.WEIGHTS, 50, DomainName(sender))
@@ -72,7 +73,7 @@
     )
 
 
-def test_manifests_are_counted_by_who_sent_them() -> None:
+def test_manifest_bytes_are_counted_by_link_of_sender() -> None:
     manifest = Manifest(1024, (FileEntry("weights", 4, (ChunkDigest("0" * 64),)),))
     data = encode_manifest(manifest)
     http = Mock()
@@ -87,7 +88,7 @@
 
 
 class SlowOrigin(ChunkOrigin):
-    """Sends each chunk in two pieces, beside others."""
+    """An origin that sends each chunk in two parts, concurrently with other chunks."""
 
     def __init__(self) -> None:
         self.received_bytes = 0
@@ -99,11 +100,11 @@
         return place.digest.encode()
 
 
-def test_chunks_drawn_beside_each_other_count_once() -> None:
-    """Of 3 chunks under way at a time each counted the bytes of all three."""
+def test_concurrently_fetched_chunks_count_once() -> None:
+    """Guard against 3 concurrent fetches that each count the bytes of all 3 chunks."""
     context, _ = make_context(Mock())
     context.digest = lambda data: ChunkDigest(data.decode())
-    digests = tuple(ChunkDigest(f"{n:064x}") for n in range(6))
+    digests = tuple(ChunkDigest(f"{number:064x}") for number in range(6))
     manifest = Manifest(64, (FileEntry("weights", 6 * 64, digests),))
     holding = Holding(RootDigest("root"), manifest, b"")
     transfer = Transfer(context, SlowOrigin(), holding, {}, 1)
