--- a/tests/platform/test_settings_change.py
+++ b/tests/platform/test_settings_change.py
@@ -28,7 +28,7 @@
     write_settings(
         front, listen={**front.settings["listen"], "frontend": "127.0.0.1:9"}
     )
-    front.gateway.running.send_signal(signal.SIGHUP)
+    front.gateway.started_process.send_signal(signal.SIGHUP)
     event = front.gateway.wait_event("settings-changed")
     assert event["detail"]["pending"] == ["callers"]
     assert front.ask("/safe/x")[0] == 200
@@ -39,7 +39,7 @@
     front.start()
     bounds = {**front.settings["bounds"], "version_ms": "soon"}
     write_settings(front, bounds=bounds)
-    front.gateway.running.send_signal(signal.SIGHUP)
+    front.gateway.started_process.send_signal(signal.SIGHUP)
     event = front.gateway.wait_event("bad-input")
     assert "version_ms" in event["detail"]["error"]
     assert front.ask("/safe/x")[0] == 200
--- a/tests/platform/test_slow_reads.py
+++ b/tests/platform/test_slow_reads.py
@@ -76,7 +76,7 @@
     version = domain.settle() + 1
     reader = domain.told(version - 1).pop()
     large = make_large_config(version)
-    domain.store.narrow[reader] = len(encode(large)) / NARROW_LINK_SECONDS
+    domain.store.reader_rates[reader] = len(encode(large)) / NARROW_LINK_SECONDS
     started_at = monotonic()
     domain.store.put_config(large)
     domain.wait_folded(version, set(domain.processes) - {reader})
@@ -89,7 +89,7 @@
     domain.start()
     version = domain.settle() + 1
     rejected_hosts = rendezvous_rank(TREE_KEY, GATEWAYS)[:count]
-    domain.store.turned_away.update(rejected_hosts)
+    domain.store.refused_readers.update(rejected_hosts)
     for host in rejected_hosts:
         domain.processes[host].wait_event("log-lost")
     started_at = monotonic()
@@ -102,7 +102,7 @@
     """Guard against a reader that counts as stale 65 times in 6 s without changes."""
     domain.start()
     version = domain.settle() + 1
-    domain.store.answer_seconds = SLOW_ANSWER_SECONDS
+    domain.store.answer_delay_seconds = SLOW_ANSWER_SECONDS
     # Reads in progress are answered without the delay.
     domain.store.put_config(make_config(version))
     domain.wait_folded(version)
--- a/tests/platform/test_stop.py
+++ b/tests/platform/test_stop.py
@@ -46,7 +46,7 @@
     idle_connection = front.open()
     front.send(idle_connection, "/safe/x")
     assert receive_answer(idle_connection)[0] == 200
-    front.gateway.running.send_signal(signal.SIGTERM)
+    front.gateway.started_process.send_signal(signal.SIGTERM)
     front.wait_until(lambda: front.ready() == 503)
     # The load balancer has not yet seen the failed readiness check: the gateway serves
     # new requests as usual.
@@ -55,7 +55,7 @@
     assert headers.get("connection") != "close"
     front.wait_until(lambda: is_connection_refused(front))
     assert idle_connection.recv(1) == b""
-    assert front.gateway.running.poll() is None
+    assert front.gateway.started_process.poll() is None
     proceed.set()
     _, _, body, is_complete = receive_answer(stream_connection)
     assert is_complete
--- a/tests/platform/test_target_reads.py
+++ b/tests/platform/test_target_reads.py
@@ -96,10 +96,12 @@
 
 def test_one_process_reads_target_list_for_its_domain(domain) -> None:
     domain.start()
-    reads_before = len(domain.store.asked)
+    reads_before = len(domain.store.offset_reads)
     sleep(WATCHED_SECONDS)
     reads = [
-        call for call in domain.store.asked[reads_before:] if call[1] == TARGETS_TOPIC
+        call
+        for call in domain.store.offset_reads[reads_before:]
+        if call[1] == TARGETS_TOPIC
     ]
     assert len({host for host, _ in reads if host in GATEWAYS}) == 1
     assert len(reads) <= MAX_READS
