--- a/src/bench/placement.py
+++ b/src/bench/placement.py
@@ -92,7 +92,7 @@
     domain: int
     loads: list[EngineLoad]
     delay: FirstEventDelay = field(default_factory=FirstEventDelay)
-    patience: UsualClientTimeout = field(default_factory=UsualClientTimeout)
+    usual_timeout: UsualClientTimeout = field(default_factory=UsualClientTimeout)
 
 
 @dataclass
@@ -176,7 +176,7 @@
             delay = gateway.delay.expected_delay(Seconds(now))
         time_left = request.client_timeout - (now - request.arrived_at)
         if self.policy == "spare":
-            waited = gateway.patience.observe(time_left)
+            waited = gateway.usual_timeout.observe(time_left)
         occupancy = gateway.loads[index].requests(now, ASSUMED_SENDERS) / MODEL.slots
         prospect = AdmissionEstimate(
             request.objective, waited, wait, prefill, occupancy, delay
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 
 import pytest
 from gateway_site import front
-from known_red import read_known_failures
+from known_failures import read_known_failures
 
 from ridgecourse.ctl.publish import make_manifest, write_manifest
 from ridgecourse_standins.client import VerifyingClient
--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -42,10 +42,10 @@
     "make_settings",
 ]
 
-Answer = tuple[int, dict[str, str], bytes, bool]
+HttpResponse = tuple[int, dict[str, str], bytes, bool]
 
 
-def receive_answer(connection: socket.socket) -> Answer:
+def receive_response(connection: socket.socket) -> HttpResponse:
     """Read an HTTP response.
 
     Returns:
@@ -85,7 +85,7 @@
         gateway: The gateway process.
         engines: Stand-ins of the engines, in the order in which they were added.
         connections: Client connections that are closed after the test.
-        attempts: Number of requests made so far; numbers the attempt ids.
+        attempt_count: Number of requests made so far; numbers the attempt ids.
     """
 
     def __init__(self, directory: Path) -> None:
@@ -98,7 +98,7 @@
         self.gateway = ManagedProcess("gateway", command, directory)
         self.engines: list[EngineStandIn] = []
         self.connections: list[socket.socket] = []
-        self.attempts = 0
+        self.attempt_count = 0
 
     @property
     def frontend(self) -> tuple[str, int]:
@@ -119,10 +119,10 @@
         engine = EngineStandIn(behaviour, host)
         engine.start()
         self.engines.append(engine)
-        self.list_engine(engine, service, target, zone=zone, version=version)
+        self.register_engine(engine, service, target, zone=zone, version=version)
         return engine
 
-    def list_engine(
+    def register_engine(
         self,
         engine: EngineStandIn,
         service: str,
@@ -175,7 +175,7 @@
                     b"GET /ridgecourse/readyz HTTP/1.1\r\nHost: x\r\n"
                     b"Connection: close\r\n\r\n"
                 )
-                return receive_answer(connection)[0]
+                return receive_response(connection)[0]
         except OSError:
             return 0
 
@@ -202,11 +202,11 @@
             deadline_ms: Deadline in milliseconds; None for no deadline.
             extra: Additional header lines.
         """
-        self.attempts += 1
+        self.attempt_count += 1
         lines = [
             f"{method} {target} HTTP/1.1",
             f"Host: {HOST}",
-            f"Attempt-Id: attempt-{self.attempts}",
+            f"Attempt-Id: attempt-{self.attempt_count}",
         ]
         if key is not None:
             lines.append(f"Key: {key}")
@@ -223,11 +223,11 @@
             options["extra"] = (*options.get("extra", ()), length)
         connection.sendall(self.head(target, **options).encode() + body)
 
-    def ask(self, target: str, body: bytes = b"", **options: Any) -> Answer:
+    def ask(self, target: str, body: bytes = b"", **options: Any) -> HttpResponse:
         """Send a request on a new connection and return the response."""
         connection = self.open()
         self.send(connection, target, body, **options)
-        return receive_answer(connection)
+        return receive_response(connection)
 
     def close(self) -> None:
         """Close all connections and end all processes and stand-ins."""
--- a/tests/platform/test_storm_lag.py
+++ b/tests/platform/test_config_storm.py
@@ -22,7 +22,7 @@
 
 import pytest
 from gateway_site import make_large_config
-from test_border_reads import BorderSite
+from test_cross_region_reads import CrossRegionSite
 
 GATEWAYS = tuple(f"127.0.0.{number}" for number in range(1, 14))
 LOADERS = tuple(f"127.0.0.{number}" for number in range(31, 41))
@@ -41,7 +41,7 @@
 """Time in which a configuration must be in force, as set in the processes' settings."""
 
 
-class StormSite(BorderSite):
+class StormSite(CrossRegionSite):
     """A domain in a storm of configurations.
 
     Attributes:
@@ -60,7 +60,7 @@
         All reads of the store share one link of ``LINK_BYTES_PER_S``.
         """
         self.start(make_large_config(1))
-        self.settle()
+        self.publish_until_single_reader()
         self.version = 100
         self.store.bytes_per_s = LINK_BYTES_PER_S
         writer = Thread(target=self.storm)
@@ -74,7 +74,7 @@
             self.written_at[version] = time()
             self.store.put_config({**config, "version": version})
             self.version = version
-            if self.ended.wait(CONFIG_INTERVAL_SECONDS):
+            if self.stop_storm.wait(CONFIG_INTERVAL_SECONDS):
                 return
 
     def stop_loaders(self) -> None:
@@ -122,7 +122,7 @@
 def site(tmp_path: Path) -> Iterator[StormSite]:
     site = StormSite(tmp_path)
     yield site
-    site.ended.set()
+    site.stop_storm.set()
     site.close()
 
 
@@ -134,6 +134,6 @@
     site.kill_gateways()
     stops.join()
     storm_writer.join()
-    site.wait_folded(site.version)
+    site.wait_applied(site.version)
     delays = sorted(site.process_delays(), reverse=True)
     assert delays[0][0] < CONFIG_DEADLINE_SECONDS, delays[:10]
--- a/tests/platform/test_crashing_requests.py
+++ b/tests/platform/test_crashing_requests.py
@@ -13,7 +13,7 @@
 from time import monotonic, sleep
 
 import pytest
-from gateway_site import GatewaySite, receive_answer
+from gateway_site import GatewaySite, receive_response
 from msgspec.json import decode
 from test_domain_reads import GATEWAYS, DomainSite
 
@@ -88,7 +88,7 @@
     numbers = iter(range(1000))
 
     def list_engine(engine: EngineStandIn) -> str:
-        return site.list_engine(engine, "app", f"i-app-{next(numbers)}")
+        return site.register_engine(engine, "app", f"i-app-{next(numbers)}")
 
     return CrashingEngines(count, list_engine, respond_after_work)
 
@@ -167,7 +167,7 @@
                     b"GET /ridgecourse/readyz HTTP/1.1\r\nHost: x\r\n"
                     b"Connection: close\r\n\r\n"
                 )
-                return receive_answer(connection)[0] == 200
+                return receive_response(connection)[0] == 200
         except OSError:
             return False
 
@@ -176,7 +176,7 @@
         frontend, _, port = self.listen_address(host, "frontend")
         with socket.create_connection((frontend, int(port)), 10.0) as connection:
             self.send(connection, PATH, body)
-            return receive_answer(connection)[0]
+            return receive_response(connection)[0]
 
 
 @pytest.fixture
@@ -251,7 +251,7 @@
     numbers = iter(range(1000))
 
     def list_engine(engine: EngineStandIn) -> str:
-        return front.list_engine(engine, "llm", f"i-llm-{next(numbers)}")
+        return front.register_engine(engine, "llm", f"i-llm-{next(numbers)}")
 
     engines = CrashingEngines(
         6, list_engine, respond_after_work, before_crash=send_incomplete_stream
--- a/tests/platform/test_border_reads.py
+++ b/tests/platform/test_cross_region_reads.py
@@ -37,12 +37,12 @@
 read the store: 14 of 18 within 0.1 s of the kill, and 19 answers were concurrent."""
 
 
-class BorderSite(DomainSite):
+class CrossRegionSite(DomainSite):
     """A domain whose processes all read the store over one link.
 
     Attributes:
         version: Version of the newest configuration.
-        ended: Set to stop the storm.
+        stop_storm: Set to stop the storm.
     """
 
     def __init__(
@@ -55,9 +55,9 @@
         seeds = [f"{host}:1" for host in gateways[:2]]
         for host in self.processes:
             if host != GATEWAYS[0]:
-                self.rewrite(host, seed_nodes=seeds)
+                self.change_settings(host, seed_nodes=seeds)
         self.version = 1
-        self.ended = Event()
+        self.stop_storm = Event()
 
     def storm(self) -> None:
         """Publish large configurations one after the other."""
@@ -66,7 +66,7 @@
         for version in count(self.version + 1):
             self.store.put_config({**config, "version": version})
             self.version = version
-            if self.ended.wait(STORM_PAUSE_SECONDS) or monotonic() > end:
+            if self.stop_storm.wait(STORM_PAUSE_SECONDS) or monotonic() > end:
                 return
 
     def loaders_that_read_store(self) -> set[str]:
@@ -80,16 +80,16 @@
 
 
 @pytest.fixture
-def border(tmp_path: Path) -> Iterator[BorderSite]:
-    site = BorderSite(tmp_path)
+def border(tmp_path: Path) -> Iterator[CrossRegionSite]:
+    site = CrossRegionSite(tmp_path)
     yield site
-    site.ended.set()
+    site.stop_storm.set()
     site.close()
 
 
 def test_few_processes_read_the_store_in_a_storm_while_gateways_restart(border) -> None:
     border.start(make_large_config(1))
-    border.settle()
+    border.publish_until_single_reader()
     border.version = 100
     border.store.delivered.clear()
     border.store.bytes_per_s = LINK_BYTES_PER_S
@@ -101,7 +101,7 @@
         border.processes[host].start()
     storm.join()
     storm_ended_at = monotonic()
-    border.wait_folded(border.version)
+    border.wait_applied(border.version)
     assert monotonic() - storm_ended_at < MAX_SETTLING_SECONDS
     assert border.store.max_sending_count <= MAX_CONCURRENT_ANSWERS
     assert not border.loaders_that_read_store()
--- a/tests/platform/test_domain_reads.py
+++ b/tests/platform/test_domain_reads.py
@@ -113,7 +113,7 @@
         command = ["-m", f"ridgecourse.platform.{program}", str(path)]
         return ManagedProcess(host, command, directory)
 
-    def rewrite(self, host: str, **extra_settings: Any) -> None:
+    def change_settings(self, host: str, **extra_settings: Any) -> None:
         """Change the settings of a process."""
         path = self.paths[host]
         path.write_bytes(encode({**decode(path.read_bytes()), **extra_settings}))
@@ -131,7 +131,7 @@
                 "gateways-known", after=len(self.gateways) - 1
             )
 
-    def told(self, version: int) -> set[str]:
+    def hosts_that_read(self, version: int) -> set[str]:
         """Return the hosts that received a configuration from the store."""
         return {
             host
@@ -140,7 +140,7 @@
             if topic == DECISIONS_TOPIC and decode(value).get("version") == version
         }
 
-    def wait_folded(self, version: int, hosts: Collection[str] | None = None) -> None:
+    def wait_applied(self, version: int, hosts: Collection[str] | None = None) -> None:
         """Wait until processes have applied a configuration.
 
         Args:
@@ -151,7 +151,7 @@
             if hosts is None or host in hosts:
                 process.wait_event("config-folded", version=str(version))
 
-    def count_avoided(self) -> int:
+    def count_avoided_parents(self) -> int:
         """Return how often a process avoided its parent."""
         return sum(
             event.get("kind") == "parent-avoided"
@@ -159,7 +159,9 @@
             for event in process.events()
         )
 
-    def settle(self, first: int = 2, hosts: Collection[str] | None = None) -> int:
+    def publish_until_single_reader(
+        self, first: int = 2, hosts: Collection[str] | None = None
+    ) -> int:
         """Publish configurations until one process reads for all.
 
         Args:
@@ -174,8 +176,8 @@
         """
         for version in range(first, first + VERSION_COUNT):
             self.store.put_config(make_config(version))
-            self.wait_folded(version, hosts)
-            if len(self.told(version)) == 1:
+            self.wait_applied(version, hosts)
+            if len(self.hosts_that_read(version)) == 1:
                 return version
         raise AssertionError("each process reads each configuration itself")
 
@@ -196,7 +198,7 @@
 
 def test_one_process_of_a_domain_reads_configurations_for_all(domain) -> None:
     domain.start()
-    domain.settle()
+    domain.publish_until_single_reader()
 
 
 def test_one_process_reads_for_all_when_changes_are_rare(domain) -> None:
@@ -206,46 +208,46 @@
     records. Without changes, the second level and loaders therefore read the store.
     """
     domain.start()
-    version = domain.settle()
-    avoided = domain.count_avoided()
+    version = domain.publish_until_single_reader()
+    avoided = domain.count_avoided_parents()
     for number in range(version + 1, version + 4):
         # No event marks the time without changes, so the test waits for that time.
         sleep(QUIET_SECONDS)
         domain.store.put_config(make_config(number))
-        domain.wait_folded(number)
-        assert len(domain.told(number)) == 1
-    assert domain.count_avoided() == avoided
+        domain.wait_applied(number)
+        assert len(domain.hosts_that_read(number)) == 1
+    assert domain.count_avoided_parents() == avoided
 
 
 def test_other_processes_get_a_configuration_while_their_reader_is_frozen(
     domain,
 ) -> None:
     domain.start()
-    version = domain.settle() + 1
-    reader = domain.told(version - 1).pop()
+    version = domain.publish_until_single_reader() + 1
+    reader = domain.hosts_that_read(version - 1).pop()
     others = set(GATEWAYS) - {reader}
     domain.processes[reader].pause()
     published_at = monotonic()
     domain.store.put_config(make_config(version))
-    domain.wait_folded(version, others)
+    domain.wait_applied(version, others)
     assert monotonic() - published_at < CONFIG_SECONDS
     # Another process must read for the rest.
-    domain.settle(version + 1, others)
+    domain.publish_until_single_reader(version + 1, others)
     domain.processes[reader].resume()
-    domain.wait_folded(version, {reader})
+    domain.wait_applied(version, {reader})
 
 
 def test_other_processes_get_a_configuration_after_their_reader_is_killed(
     domain,
 ) -> None:
     domain.start()
-    version = domain.settle() + 1
-    reader = domain.told(version - 1).pop()
+    version = domain.publish_until_single_reader() + 1
+    reader = domain.hosts_that_read(version - 1).pop()
     others = set(GATEWAYS) - {reader}
     domain.processes[reader].kill()
     published_at = monotonic()
     domain.store.put_config(make_config(version))
-    domain.wait_folded(version, others)
+    domain.wait_applied(version, others)
     assert monotonic() - published_at < CONFIG_SECONDS
 
 
@@ -253,7 +255,7 @@
     domain.start()
     restarted = domain.processes[GATEWAYS[1]]
     restarted.kill()
-    domain.rewrite(GATEWAYS[1], seed_nodes=[f"{GATEWAYS[0]}:1"])
+    domain.change_settings(GATEWAYS[1], seed_nodes=[f"{GATEWAYS[0]}:1"])
     read_count = len(domain.store.newest_reads)
     restarted.start()
     restarted.wait_event("config-folded", after=1)
--- a/tests/platform/test_engine_lives.py
+++ b/tests/platform/test_engine_incarnations.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from gateway_site import GatewaySite, receive_answer
+from gateway_site import GatewaySite, receive_response
 from msgspec import structs
 
 from ridgecourse.core.ids import EngineStart, WeightsVersion
@@ -57,7 +57,7 @@
     engine = EngineStandIn(make_responder(text), born=born)
     engine.start()
     site.engines.append(engine)
-    site.list_engine(engine, service, "i-0")
+    site.register_engine(engine, service, "i-0")
     return engine
 
 
@@ -81,7 +81,7 @@
     engine.behaviour = make_responder(text)
     engine.start()
     site.engines.append(engine)
-    site.list_engine(engine, service, "i-0")
+    site.register_engine(engine, service, "i-0")
     return engine
 
 
@@ -133,7 +133,7 @@
     first.resume()
     # The heartbeat of the first incarnation is the newest record of the identity. The
     # event for the next entry shows that the gateway has read the heartbeat.
-    front.list_engine(first, "app", "i-0")
+    front.register_engine(first, "app", "i-0")
     front.add_engine("other", make_responder("other"), "i-1")
     front.gateway.wait_event("target-listed", target="i-1")
     request_count = len(first.requests)
@@ -159,7 +159,7 @@
     other_service_engine.behaviour = make_target_responder("i-7", "taker")
     other_service_engine.start()
     front.engines.append(other_service_engine)
-    front.list_engine(other_service_engine, "other", "i-7")
+    front.register_engine(other_service_engine, "other", "i-7")
     add_next_incarnation(front, first, "second", at_new_port=True)
     front.wait_until(lambda: front.ask("/safe/deep/a")[2] == b"taker")
     bodies = set()
@@ -201,7 +201,7 @@
     second.behaviour = send_last_events
     front.gateway.wait_event("target-listed", after=1, target="i-0")
     may_disconnect.set()
-    _, _, body, complete = receive_answer(connection)
+    _, _, body, complete = receive_response(connection)
     assert (body, complete) == (
         b"".join(format_event(number) for number in range(1, 5)),
         True,
--- a/tests/platform/test_engine_limits.py
+++ b/tests/platform/test_engine_limits.py
@@ -93,7 +93,7 @@
         engine = EngineStandIn(behaviour)
         engine.start()
         site.engines.append(engine)
-        site.list_engine(engine, "app")
+        site.register_engine(engine, "app")
     return limited
 
 
--- a/tests/platform/test_herding.py
+++ b/tests/platform/test_herding.py
@@ -23,7 +23,7 @@
 SEEDS = (1, 2, 3)
 
 
-def share_in_time(seed: int, patience_spread: float = 0.0) -> float:
+def share_in_time(seed: int, timeout_spread: float = 0.0) -> float:
     """Simulate the load in virtual time and return the share of answers in time."""
     engines = [SimulatedEngine(MODEL) for _ in range(ENGINES)]
     gateways = [
@@ -31,7 +31,7 @@
         for number in range(GATEWAYS)
     ]
     simulation = Simulation("spare", engines, gateways, Random(seed))
-    simulation.timeout_spread = patience_spread
+    simulation.timeout_spread = timeout_spread
     simulation.run(SECONDS, RATE)
     counted = [r for r in simulation.requests if r.arrived_at > WARMUP_SECONDS]
     return sum(credit(request) == 1.0 for request in counted) / len(counted)
--- a/tests/platform/test_late_hubs.py
+++ b/tests/platform/test_hub_recovery.py
@@ -18,8 +18,8 @@
 import pytest
 from gateway_site import MODEL
 from test_hubs import HubSite
-from test_kept_transfers import NarrowLinkSite
 from test_loader import CHUNKS
+from test_transfer_precedence import NarrowLinkSite
 
 UNSENT_CHUNKS = 4
 LOADER_REQUEST_AGE_SECONDS = 3.2
@@ -55,12 +55,12 @@
     hub_site.wait_for_version_chunks("127.0.0.1", 2, CHUNKS - UNSENT_CHUNKS)
     origin.unreachable = True
     origin.release()
-    for gateway in hub_site.places.values():
+    for gateway in hub_site.gateways.values():
         gateway.kill()
     # No event announces that a version is old enough; only the time counts.
     sleep(LOADER_REQUEST_AGE_SECONDS)
     hub_site.restart_gateways()
-    hub, _ = hub_site.ranked()
+    hub, _ = hub_site.hosts_hub_first()
     hub_site.wait_for_version_chunks(hub, 2, CHUNKS - UNSENT_CHUNKS)
     origin.unreachable = False
     hub_site.wait_serving(2)
@@ -69,19 +69,19 @@
 def test_chunks_that_loaders_saw_at_a_lost_hub_are_refetched_at_once(narrow) -> None:
     narrow.start()
     narrow.store.put_version(MODEL, 2)
-    for host in narrow.places:
+    for host in narrow.gateways:
         narrow.wait_for_version_chunks(host, 2, CHUNKS)
     narrow.wait_for_version_chunks("127.0.0.1", 2, LOADER_CHUNKS)
     origin = narrow.origin
     origin.unreachable = True
-    for gateway in narrow.places.values():
+    for gateway in narrow.gateways.values():
         gateway.kill()
     sleep(LOADER_REQUEST_AGE_SECONDS)
     missing_digests = narrow.missing_digests("127.0.0.1", 2)
     narrow.restart_gateways()
     origin.unreachable = False
     started_at = monotonic()
-    hub, _ = narrow.ranked()
+    hub, _ = narrow.hosts_hub_first()
     # The other chunks come over the narrow link of the loader.
     narrow.wait_for_chunks(hub, missing_digests, len(missing_digests))
     assert monotonic() - started_at < REFETCH_SECONDS
--- a/tests/platform/test_hubs.py
+++ b/tests/platform/test_hubs.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from msgspec import convert
 from msgspec.json import decode, encode
-from test_loader import CHUNKS, LoaderSite, chunk_calls, make_chunks
+from test_loader import CHUNKS, LoaderSite, count_chunk_requests, make_chunks
 from test_weights import CHUNKS as DIGESTS
 from test_weights import HUBS, make_gateways, make_planner
 
@@ -138,7 +138,7 @@
     return hub
 
 
-def end_work(hub: Hub) -> None:
+def stop_fetches(hub: Hub) -> None:
     for thread in list(hub.fetching.values()):
         thread.kill()
 
@@ -152,7 +152,7 @@
     hub.view.history(model).record_version(WeightsVersion(3), now, now)
     hub.fetch_announced()
     assert list(hub.fetching) == [(model, 2), (model, 3)]
-    end_work(hub)
+    stop_fetches(hub)
 
 
 def test_a_gateway_without_known_peers_does_not_prefetch() -> None:
@@ -194,7 +194,7 @@
     def __init__(self, directory: Path, **options: bool) -> None:
         super().__init__(directory, **options)
         self.directory = directory
-        self.places: dict[str, ManagedProcess] = {}
+        self.gateways: dict[str, ManagedProcess] = {}
         for number in (2, 3):
             host = f"127.0.0.{number}"
             settings = make_settings(
@@ -208,34 +208,38 @@
             path = directory / f"{host}.json"
             path.write_bytes(encode(settings))
             command = ["-m", "ridgecourse.platform.gateway_main", str(path)]
-            self.places[host] = ManagedProcess(f"gateway-{number}", command, directory)
+            self.gateways[host] = ManagedProcess(
+                f"gateway-{number}", command, directory
+            )
 
     def start(self) -> None:
-        self.list_engine()
-        for gateway in self.places.values():
+        self.register_engine()
+        for gateway in self.gateways.values():
             gateway.start()
         super().start()
         self.wait_serving(1)
-        for gateway in self.places.values():
+        for gateway in self.gateways.values():
             gateway.wait_event("target-listed")
-        self.loader.wait_event("gateways-known", detail={"gateways": list(self.places)})
+        self.loader.wait_event(
+            "gateways-known", detail={"gateways": list(self.gateways)}
+        )
 
     def restart_gateways(self) -> None:
         """Restart the gateways without the setting of a very first start."""
-        for host, gateway in self.places.items():
+        for host, gateway in self.gateways.items():
             path = self.directory / f"{host}.json"
             path.write_bytes(encode({**decode(path.read_bytes()), "bootstrap": False}))
             gateway.start()
-        for gateway in self.places.values():
+        for gateway in self.gateways.values():
             gateway.wait_event("target-listed", after=1)
 
-    def ranked(self) -> list[str]:
+    def hosts_hub_first(self) -> list[str]:
         """Return the hosts of the gateways, with the hub of version 2 first."""
         peers = [
-            Peer(TargetName(host), DomainName("a"), "x", "x") for host in self.places
+            Peer(TargetName(host), DomainName("a"), "x", "x") for host in self.gateways
         ]
         (hub,) = choose_hubs(KEY, peers)
-        return sorted(self.places, key=lambda host: host != hub.name)
+        return sorted(self.gateways, key=lambda host: host != hub.name)
 
     def ask(self, host: str, version: int = 2) -> None:
         """Request a version from a gateway, as a loader does."""
@@ -276,7 +280,7 @@
             sleep(0.02)
 
     def close(self) -> None:
-        for gateway in self.places.values():
+        for gateway in self.gateways.values():
             gateway.close()
         super().close()
 
@@ -290,59 +294,59 @@
 
 def test_two_requested_gateways_fetch_one_copy(hub_site) -> None:
     hub_site.start()
-    calls_before = chunk_calls(hub_site)
+    calls_before = count_chunk_requests(hub_site)
     hub_site.store.put_version(MODEL, 2)
-    for host in hub_site.places:
+    for host in hub_site.gateways:
         hub_site.ask(host)
-    for gateway in hub_site.places.values():
+    for gateway in hub_site.gateways.values():
         gateway.wait_event("version-complete", version="2")
     hub_site.wait_serving(2)
-    assert chunk_calls(hub_site) == calls_before + CHUNKS
+    assert count_chunk_requests(hub_site) == calls_before + CHUNKS
 
 
 def test_the_standby_holds_the_version_of_a_killed_hub(hub_site) -> None:
     hub_site.start()
-    hub, standby = hub_site.ranked()
+    hub, standby = hub_site.hosts_hub_first()
     hub_site.ask(hub)
-    hub_site.places[standby].wait_event("version-complete", version="2")
-    calls_before = chunk_calls(hub_site)
-    hub_site.places[hub].kill()
+    hub_site.gateways[standby].wait_event("version-complete", version="2")
+    calls_before = count_chunk_requests(hub_site)
+    hub_site.gateways[hub].kill()
     hub_site.store.put_version(MODEL, 2)
     hub_site.wait_serving(2)
-    assert chunk_calls(hub_site) == calls_before
+    assert count_chunk_requests(hub_site) == calls_before
 
 
 def test_the_standby_completes_a_fetch_that_a_killed_hub_started(hub_site) -> None:
     hub_site.origin.versions[2] = make_chunks(2)
     hub_site.start()
-    hub, standby = hub_site.ranked()
+    hub, standby = hub_site.hosts_hub_first()
     hub_site.origin.send_limit = 0
     hub_site.store.put_version(MODEL, 2)
     hub_site.loader.wait_event("rollout-phase", version="2")
-    hub_site.origin.wait_until(lambda: chunk_calls(hub_site) > CHUNKS)
-    hub_site.places[hub].kill()
+    hub_site.origin.wait_until(lambda: count_chunk_requests(hub_site) > CHUNKS)
+    hub_site.gateways[hub].kill()
     hub_site.origin.release()
     hub_site.wait_serving(2)
-    hub_site.places[standby].wait_event("version-complete", version="2")
+    hub_site.gateways[standby].wait_event("version-complete", version="2")
 
 
 def test_a_nearly_complete_fetch_finishes_before_a_newer_version_starts(
     hub_site,
 ) -> None:
     hub_site.start()
-    hub, _ = hub_site.ranked()
+    hub, _ = hub_site.hosts_hub_first()
     origin = hub_site.origin
     origin.send_limit = origin.sent + CHUNKS - 4
     hub_site.store.put_version(MODEL, 2)
-    for host in hub_site.places:
+    for host in hub_site.gateways:
         hub_site.ask(host)
     origin.wait_until(lambda: origin.sent == origin.send_limit)
-    for host in hub_site.places:
+    for host in hub_site.gateways:
         hub_site.wait_for_version_chunks(host, 2, CHUNKS - 4)
     hub_site.store.put_version(MODEL, 3)
-    for host in hub_site.places:
+    for host in hub_site.gateways:
         hub_site.ask(host, 3)
-    hub_site.places[hub].wait_event("version-named", version="3")
+    hub_site.gateways[hub].wait_event("version-named", version="3")
     origin.release()
     hub_site.wait_serving(3)
     chunk_targets = [target for _, target in origin.calls if "/piece/" in target]
@@ -368,13 +372,13 @@
 
 def test_the_standby_takes_over_from_a_stopped_hub(hub_site) -> None:
     hub_site.start()
-    hub, standby = hub_site.ranked()
-    hub_site.places[hub].started_process.terminate()
+    hub, standby = hub_site.hosts_hub_first()
+    hub_site.gateways[hub].started_process.terminate()
     hub_site.loader.wait_event("gateways-known", detail={"gateways": [standby]})
     hub_site.store.put_version(MODEL, 2)
     hub_site.wait_serving(2)
-    hub_site.places[standby].wait_event("version-complete", version="2")
-    assert hub_site.places[hub].started_process.wait(10) == 0
+    hub_site.gateways[standby].wait_event("version-complete", version="2")
+    assert hub_site.gateways[hub].started_process.wait(10) == 0
 
 
 def test_the_first_version_is_fetched_from_the_engines_of_the_domain(hub_site) -> None:
@@ -383,16 +387,16 @@
     hub_site.engine.version = 1
     hub_site.engine.staged_at_start[1] = dict(enumerate(chunks))
     hub_site.start()
-    for gateway in hub_site.places.values():
+    for gateway in hub_site.gateways.values():
         gateway.wait_event("version-complete", version="1")
-    assert chunk_calls(hub_site) == 0
+    assert count_chunk_requests(hub_site) == 0
 
 
 def test_weights_are_transferred_before_the_engine_starts(tmp_path) -> None:
     site = HubSite(tmp_path, engine_started=False)
     try:
         site.store.put_config(site.config())
-        for gateway in site.places.values():
+        for gateway in site.gateways.values():
             gateway.start()
             gateway.wait_event("config-folded")
         site.loader.start()
--- a/tests/platform/test_left_versions.py
+++ b/tests/platform/test_interrupted_transfers.py
@@ -21,7 +21,7 @@
 from gateway_site import MODEL
 from test_hubs import HubSite
 from test_loader import CHUNKS
-from test_outdated_transfers import LEFT_CHUNKS, strand_second_version
+from test_outdated_transfers import UNSENT_CHUNKS, interrupt_second_version
 
 from ridgecourse.core.ids import (
     Seconds,
@@ -47,10 +47,10 @@
 
 def test_a_nearly_complete_transfer_continues_when_its_hub_is_killed(hub_site) -> None:
     hub_site.start()
-    hub, standby = hub_site.ranked()
-    strand_second_version(hub_site)
+    hub, standby = hub_site.hosts_hub_first()
+    interrupt_second_version(hub_site)
     for host in ("127.0.0.1", hub, standby):
-        hub_site.wait_for_version_chunks(host, 2, CHUNKS - LEFT_CHUNKS)
+        hub_site.wait_for_version_chunks(host, 2, CHUNKS - UNSENT_CHUNKS)
     third = hub_site.origin.versions.pop(3)
     sleep(
         max(
@@ -60,7 +60,7 @@
     )
     hub_site.store.put_version(MODEL, 3)
     hub_site.loader.wait_event("version-named", version="3")
-    hub_site.places[hub].kill()
+    hub_site.gateways[hub].kill()
     hub_site.loader.wait_event("gateways-known", detail={"gateways": [standby]})
     hub_site.origin.unreachable = False
     hub_site.wait_serving(2)
--- a/tests/platform/test_foreign_decisions.py
+++ b/tests/platform/test_invalid_decisions.py
@@ -14,12 +14,12 @@
 from unittest.mock import Mock
 
 import pytest
-from foreign_reader import Reader, change, json_values, without
 from gateway_site import HOST, KEY, MODEL, GatewaySite, make_config, make_route
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from msgspec import Raw
 from msgspec.json import encode
+from view_reader import ViewReader, json_values, with_fields, without_field
 
 from ridgecourse.core.ids import ModelName
 from ridgecourse.gateway.messages import ClientRequest
@@ -60,7 +60,7 @@
     return edited
 
 
-def look_up_routes(reader: Reader) -> None:
+def look_up_routes(reader: ViewReader) -> None:
     """Look up the terms of a request for each route of the current configuration."""
     config = reader.view.config
     assert config is not None
@@ -77,15 +77,15 @@
 
 
 def check_config(edited: Any) -> None:
-    reader = Reader()
-    reader.decide(CONFIG_KEY, make_config(1))
-    reader.decide(CONFIG_KEY, edited)
+    reader = ViewReader()
+    reader.apply_decision(CONFIG_KEY, make_config(1))
+    reader.apply_decision(CONFIG_KEY, edited)
     assert reader.view.config is not None
     if reader.view.config.version == 1:
-        assert len(reader.events.bad()) <= 1
+        assert len(reader.events.bad_input_details()) <= 1
     look_up_routes(reader)
     if reader.view.config.version < 2**53:
-        reader.decide(CONFIG_KEY, make_config(2**53))
+        reader.apply_decision(CONFIG_KEY, make_config(2**53))
     assert reader.view.config.find_route(HOST, "/safe/x") is not None
 
 
@@ -103,17 +103,19 @@
 
 
 INVALID_CONFIGS = {
-    "no tenants": without(NEWER, "tenants"),
-    "no limits": without(NEWER, "limits"),
-    "no routes": without(NEWER, "routes"),
-    "no services": without(NEWER, "services"),
-    "no version": without(NEWER, "version"),
-    "version 0": change(NEWER, version=0),
-    "a version that is text": change(NEWER, version="3"),
-    "a version with a fraction": change(NEWER, version=2.5),
-    "a version that is true": change(NEWER, version=True),
-    "a route without a service": change(NEWER, routes=[make_route("/a/", "safe", "")]),
-    "weights that are all 0": change(
+    "no tenants": without_field(NEWER, "tenants"),
+    "no limits": without_field(NEWER, "limits"),
+    "no routes": without_field(NEWER, "routes"),
+    "no services": without_field(NEWER, "services"),
+    "no version": without_field(NEWER, "version"),
+    "version 0": with_fields(NEWER, version=0),
+    "a version that is text": with_fields(NEWER, version="3"),
+    "a version with a fraction": with_fields(NEWER, version=2.5),
+    "a version that is true": with_fields(NEWER, version=True),
+    "a route without a service": with_fields(
+        NEWER, routes=[make_route("/a/", "safe", "")]
+    ),
+    "weights that are all 0": with_fields(
         NEWER,
         routes=[
             make_route(
@@ -127,22 +129,22 @@
             )
         ],
     ),
-    "a negative weight": change(
+    "a negative weight": with_fields(
         NEWER,
         routes=[
             make_route("/a/", "safe", "", backends=[{"service": "app", "weight": -1}])
         ],
     ),
-    "a timeout of 0": change(
+    "a timeout of 0": with_fields(
         NEWER, routes=[make_route("/a/", "safe", "app", timeout_ms=0)]
     ),
-    "no attempts": change(
+    "no attempts": with_fields(
         NEWER, routes=[make_route("/a/", "safe", "app", max_attempts=0)]
     ),
-    "no connections": change(
+    "no connections": with_fields(
         NEWER, services=[{"name": "app", "health_path": "/h", "max_connections": 0}]
     ),
-    "an origin with an invalid address": change(
+    "an origin with an invalid address": with_fields(
         NEWER, services=[{"name": "kafi", "origin": "nowhere", "zone": "a"}]
     ),
     "a list": [],
@@ -154,17 +156,17 @@
 
 @pytest.mark.parametrize("bad", INVALID_CONFIGS.values(), ids=INVALID_CONFIGS)
 def test_an_invalid_configuration_does_not_replace_the_current_one(bad: Any) -> None:
-    reader = Reader()
-    reader.decide(CONFIG_KEY, make_config(1))
+    reader = ViewReader()
+    reader.apply_decision(CONFIG_KEY, make_config(1))
     known = reader.view.config
-    reader.decide(CONFIG_KEY, bad)
+    reader.apply_decision(CONFIG_KEY, bad)
     assert reader.view.config is known
-    (line,) = reader.events.bad()
+    (line,) = reader.events.bad_input_details()
     assert line["key"] == CONFIG_KEY
     # A process that starts reads the invalid one; the valid one is pinned for it.
-    (pinned,) = reader.keeper.pin.call_args.args
+    (pinned,) = reader.pinned_decisions.pin.call_args.args
     assert pinned.value == encode(make_config(1))
-    reader.decide(CONFIG_KEY, make_config(2))
+    reader.apply_decision(CONFIG_KEY, make_config(2))
     assert reader.view.config.version == 2
 
 
@@ -192,14 +194,14 @@
 
 @pytest.mark.parametrize("bad", INVALID_VERSION_DECISIONS, ids=format_parameter_id)
 def test_an_invalid_version_decision_does_not_replace_the_current_one(bad: Any) -> None:
-    reader = Reader()
+    reader = ViewReader()
     key = f"version/{MODEL}"
-    reader.decide(key, {"model": MODEL, "version": 2})
-    reader.decide(key, bad)
+    reader.apply_decision(key, {"model": MODEL, "version": 2})
+    reader.apply_decision(key, bad)
     assert reader.view.wanted_version(ModelName(MODEL)) == 2
-    (line,) = reader.events.bad()
+    (line,) = reader.events.bad_input_details()
     assert line["key"] == key
-    reader.decide(key, {"model": MODEL, "version": 3})
+    reader.apply_decision(key, {"model": MODEL, "version": 3})
     assert reader.view.wanted_version(ModelName(MODEL)) == 3
 
 
@@ -207,11 +209,11 @@
 def test_arbitrary_decision_values_do_not_replace_the_current_ones(
     value: bytes,
 ) -> None:
-    reader = Reader()
-    reader.decide(CONFIG_KEY, make_config(1))
-    reader.decide(f"version/{MODEL}", {"model": MODEL, "version": 2})
+    reader = ViewReader()
+    reader.apply_decision(CONFIG_KEY, make_config(1))
+    reader.apply_decision(f"version/{MODEL}", {"model": MODEL, "version": 2})
     for key in (CONFIG_KEY, f"version/{MODEL}", "version/", "other"):
-        reader.read(Topic.DECISIONS, (key.encode(), value))
+        reader.apply_answer(Topic.DECISIONS, (key.encode(), value))
     assert reader.view.config is not None
     assert reader.view.config.version == 1
     assert reader.view.wanted_version(ModelName(MODEL)) == 2
--- a/tests/platform/test_known_lives.py
+++ b/tests/platform/test_known_incarnations.py
@@ -14,11 +14,11 @@
 from unittest.mock import Mock
 
 import pytest
-from foreign_reader import ENTRY
 from hypothesis import given
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 from msgspec.json import encode
+from view_reader import TARGET_ENTRY
 
 from ridgecourse.cluster.view import ClusterView
 from ridgecourse.core.engine_incarnation import EngineIncarnation
@@ -288,7 +288,7 @@
     view = ClusterView(Mock(), Mock(), PlatformRecordDecoder(), Mock(), 8.0)
 
     def apply_entry(offset: int, born: int, address: str) -> str:
-        entry = {**ENTRY, "address": address, "born": born}
+        entry = {**TARGET_ENTRY, "address": address, "born": born}
         record = KeyedRecord(ENGINE, encode(entry), Offset(offset))
         confirmed_at = Seconds(monotonic())
         batch = RecordBatch([record], Offset(offset + 1), confirmed_at)
--- a/tests/platform/test_late_callers.py
+++ b/tests/platform/test_late_requests.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 import pytest
-from gateway_site import Answer, GatewaySite
+from gateway_site import GatewaySite, HttpResponse
 from msgspec import structs
-from test_requests import stream
+from test_request_forwarding import make_stream_behaviour
 
 from ridgecourse.core.client_timeout import MIN_SAMPLE_SIZE
 from ridgecourse_standins.platform.loader import IDLE_STATUS, LoaderStandIn
@@ -28,7 +28,7 @@
         self.loader = LoaderStandIn(ENGINE, port)
 
     def start(self, config: dict[str, Any] | None = None) -> None:
-        self.add_engine("llm", stream(1, 2), host=ENGINE)
+        self.add_engine("llm", make_stream_behaviour(1, 2), host=ENGINE)
         self.loader.start()
         super().start(config)
         self.wait_until(lambda: self.loader.connection_count > 0)
@@ -36,7 +36,7 @@
         for _ in range(MIN_SAMPLE_SIZE):
             assert self.call(6000)[0] == 200
 
-    def call(self, deadline_ms: int, *headers: str) -> Answer:
+    def call(self, deadline_ms: int, *headers: str) -> HttpResponse:
         return self.ask(
             "/stream/x",
             method="POST",
--- a/tests/platform/test_letting_in.py
+++ b/tests/platform/test_load_shedding.py
@@ -145,7 +145,7 @@
 
 def share_in_time_with_spread() -> float:
     """Return the share of answers in time where client timeouts differ."""
-    return sum(share_in_time(seed, patience_spread=0.15) for seed in SEEDS) / len(SEEDS)
+    return sum(share_in_time(seed, timeout_spread=0.15) for seed in SEEDS) / len(SEEDS)
 
 
 class TimeoutWithoutSpread(UsualClientTimeout):
@@ -169,7 +169,7 @@
     gateway: Gateway, domain: int, loads: list[EngineLoad]
 ) -> None:
     gateway.domain, gateway.loads = domain, loads
-    gateway.delay, gateway.patience = FirstEventDelay(), TimeoutWithoutSpread()
+    gateway.delay, gateway.usual_timeout = FirstEventDelay(), TimeoutWithoutSpread()
 
 
 def test_small_sample_reveals_no_retry() -> None:
--- a/tests/platform/test_loader.py
+++ b/tests/platform/test_loader.py
@@ -66,7 +66,7 @@
         config["services"][3]["origin"] = self.origin.address
         return config
 
-    def list_engine(self) -> None:
+    def register_engine(self) -> None:
         entry: dict[str, Any] = {
             "service": "llm",
             "address": self.engine.address,
@@ -105,7 +105,7 @@
     site.close()
 
 
-def chunk_calls(site: LoaderSite) -> int:
+def count_chunk_requests(site: LoaderSite) -> int:
     return sum("/piece/" in target for _, target in site.origin.calls)
 
 
@@ -117,14 +117,14 @@
     loader_site.store.put_version(MODEL, 2)
     loader_site.wait_serving(2)
     # Each chunk of each version was fetched once.
-    assert chunk_calls(loader_site) == 2 * CHUNKS
+    assert count_chunk_requests(loader_site) == 2 * CHUNKS
 
 
 def test_corrupt_chunk_is_fetched_again(loader_site) -> None:
     loader_site.origin.corrupt_chunks = {(1, 3), (1, 7)}
     loader_site.start()
     loader_site.wait_serving(1)
-    assert chunk_calls(loader_site) == CHUNKS + 2
+    assert count_chunk_requests(loader_site) == CHUNKS + 2
 
 
 def test_chunks_corrupted_in_staging_are_repaired_before_the_start(
@@ -146,25 +146,25 @@
 def test_restarted_engine_starts_from_the_staged_chunks(loader_site) -> None:
     loader_site.start()
     loader_site.wait_serving(1)
-    fetch_count = chunk_calls(loader_site)
+    fetch_count = count_chunk_requests(loader_site)
     with loader_site.engine.changed:
         loader_site.engine.version = 0
         loader_site.engine.staged_at_start.clear()
     loader_site.wait_serving(1)
-    assert chunk_calls(loader_site) == fetch_count
+    assert count_chunk_requests(loader_site) == fetch_count
 
 
 def test_restarted_loader_reuses_the_chunks_staged_at_the_engine(loader_site) -> None:
     loader_site.start()
     loader_site.wait_serving(1)
-    fetch_count = chunk_calls(loader_site)
+    fetch_count = count_chunk_requests(loader_site)
     loader_site.loader.kill()
     with loader_site.engine.changed:
         loader_site.engine.version = 0
         loader_site.engine.staged_at_start.clear()
     loader_site.loader.start()
     loader_site.wait_serving(1)
-    assert chunk_calls(loader_site) == fetch_count
+    assert count_chunk_requests(loader_site) == fetch_count
 
 
 def test_version_announced_during_a_store_outage_is_fetched_later(
@@ -193,11 +193,11 @@
         # Each poll of the missing engine fails after 1 s; a loader that did not wait
         # for the engine would have called the origin after 3 s.
         site.loader.wait_event("rollout-phase", 20, after=5, version="0")
-        assert chunk_calls(site) == 0
+        assert count_chunk_requests(site) == 0
         site.engine.staged = dict(enumerate(site.origin.versions[1]))
         site.engine.start()
         site.wait_serving(1)
-        assert chunk_calls(site) == 0
+        assert count_chunk_requests(site) == 0
     finally:
         site.close()
 
--- a/tests/platform/test_outdated_transfers.py
+++ b/tests/platform/test_outdated_transfers.py
@@ -24,7 +24,7 @@
 from test_hubs import HubSite
 from test_loader import CHUNKS, LoaderSite, make_chunks
 
-LEFT_CHUNKS = 4
+UNSENT_CHUNKS = 4
 """Chunks not sent before the origin goes away; 3 of them, in transit, still arrive."""
 MAX_HUB_SECONDS = 2.0
 """Time for a hub to complete a version without delay: about 0.5 s for 12 chunks."""
@@ -49,11 +49,11 @@
     site.close()
 
 
-def strand_second_version(site: LoaderSite) -> None:
+def interrupt_second_version(site: LoaderSite) -> None:
     """Make the origin unreachable when the second version is nearly fetched."""
     origin = site.origin
     origin.versions[4] = make_chunks(4)
-    limit = origin.send_limit = origin.sent + CHUNKS - LEFT_CHUNKS
+    limit = origin.send_limit = origin.sent + CHUNKS - UNSENT_CHUNKS
     site.store.put_version(MODEL, 2)
     origin.wait_until(lambda: origin.sent == limit)
     origin.unreachable = True
@@ -64,7 +64,7 @@
 def announce_to_hubs(site: HubSite, version: int) -> None:
     """Announce a version; both gateways receive the version and a request for it."""
     site.store.put_version(MODEL, version)
-    for host, gateway in site.places.items():
+    for host, gateway in site.gateways.items():
         gateway.wait_event("version-named", version=str(version))
         site.ask(host, version)
 
@@ -79,13 +79,13 @@
 
 def test_version_deleted_at_the_origin_does_not_delay_a_newer_one(hub_site) -> None:
     hub_site.start()
-    strand_second_version(hub_site)
+    interrupt_second_version(hub_site)
     announce_to_hubs(hub_site, 3)
     del hub_site.origin.versions[2]
     hub_site.origin.unreachable = False
     recovered_at = monotonic()
-    hub, _ = hub_site.ranked()
-    hub_site.places[hub].wait_event("version-complete", version="3")
+    hub, _ = hub_site.hosts_hub_first()
+    hub_site.gateways[hub].wait_event("version-complete", version="3")
     assert monotonic() - recovered_at < MAX_HUB_SECONDS
     hub_site.wait_serving(3)
     assert monotonic() - recovered_at < MAX_SERVING_AFTER_STALL_SECONDS
@@ -93,7 +93,7 @@
 
 def test_hubs_stop_fetching_a_version_with_two_newer_ones(hub_site) -> None:
     hub_site.start()
-    strand_second_version(hub_site)
+    interrupt_second_version(hub_site)
     announce_to_hubs(hub_site, 3)
     announce_to_hubs(hub_site, 4)
     calls_before = count_chunk_calls(hub_site, 2)
@@ -107,7 +107,7 @@
 def test_loader_aborts_a_version_deleted_at_the_origin(loader_site) -> None:
     loader_site.start()
     loader_site.wait_serving(1)
-    strand_second_version(loader_site)
+    interrupt_second_version(loader_site)
     loader_site.store.put_version(MODEL, 3)
     loader_site.loader.wait_event("version-named", version="3")
     del loader_site.origin.versions[2]
@@ -118,7 +118,7 @@
 def test_loader_stops_fetching_a_version_with_two_newer_ones(loader_site) -> None:
     loader_site.start()
     loader_site.wait_serving(1)
-    strand_second_version(loader_site)
+    interrupt_second_version(loader_site)
     for version in (3, 4):
         loader_site.store.put_version(MODEL, version)
         loader_site.loader.wait_event("version-named", version=str(version))
--- a/tests/platform/test_return_from_cut.py
+++ b/tests/platform/test_partition_recovery.py
@@ -21,7 +21,7 @@
 from time import sleep, time
 
 import pytest
-from test_storm_lag import StormSite
+from test_config_storm import StormSite
 
 from ridgecourse_standins.platform.store import StoreMode
 
@@ -36,7 +36,7 @@
 def site(tmp_path: Path) -> Iterator[StormSite]:
     site = StormSite(tmp_path)
     yield site
-    site.ended.set()
+    site.stop_storm.set()
     site.close()
 
 
@@ -49,6 +49,6 @@
     newest = site.version
     site.store.set_mode(StoreMode.UP)
     storm_writer.join()
-    site.wait_folded(site.version)
+    site.wait_applied(site.version)
     delays = sorted(site.config_delays(newest, partition_end), reverse=True)
     assert delays[0][0] < RECOVERY_SECONDS, delays[:10]
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_request_forwarding.py
@@ -30,7 +30,7 @@
     )
     assert (status, body, is_complete) == (200, b"answer", True)
     assert headers["response-signature"] == "signed-by-engine"
-    assert headers["attempt-id"] == f"attempt-{front.attempts}"
+    assert headers["attempt-id"] == f"attempt-{front.attempt_count}"
     [request] = engine.requests
     assert request.request_line == f"GET {target} HTTP/1.1"
     assert request.header("Host") == "shop.example"
@@ -266,7 +266,7 @@
 # Streams.
 
 
-def stream(first: int, last: int):
+def make_stream_behaviour(first: int, last: int):
     def behaviour(request: ReceivedRequest) -> None:
         send_stream_head(request)
         send_events(request, first, last)
@@ -333,7 +333,7 @@
         reset_connection(request)
 
     front.add_engine("llm", send_interrupted, zone="a")
-    other = front.add_engine("llm", stream(1, 3), zone="b")
+    other = front.add_engine("llm", make_stream_behaviour(1, 3), zone="b")
     front.start()
     _, _, body, is_complete = front.ask(
         "/once-stream/x", method="POST", extra=STREAM_HEADERS
@@ -363,7 +363,7 @@
 
 
 def test_engine_without_weights_gets_no_request(front) -> None:
-    empty = front.add_engine("llm", stream(1, 2), version=0)
+    empty = front.add_engine("llm", make_stream_behaviour(1, 2), version=0)
     front.start()
     assert front.ask("/stream/x", method="POST", extra=STREAM_HEADERS)[0] == 503
     assert empty.requests == []
@@ -403,7 +403,7 @@
     engine = front.add_engine("app")
     engine.listener.close()
     engine.listener = listener
-    front.list_engine(engine, "app")
+    front.register_engine(engine, "app")
     front.start()
     client = front.open()
     body = bytes(90_000)
--- a/tests/platform/test_left_draws.py
+++ b/tests/platform/test_skipped_fetches.py
@@ -69,7 +69,7 @@
     slow_origin.start()
     hold_back_second_version(slow_origin)
     slow_origin.store.put_version(MODEL, 3)
-    hub = slow_origin.places[slow_origin.ranked()[0]]
+    hub = slow_origin.gateways[slow_origin.hosts_hub_first()[0]]
     hub.wait_event("rollout-dropped", version="2")
     slow_origin.origin.release()
     slow_origin.wait_serving(3)
--- a/tests/platform/test_slow_reads.py
+++ b/tests/platform/test_slow_reads.py
@@ -57,15 +57,15 @@
 
 def test_few_processes_read_store_while_its_responses_are_slow(domain) -> None:
     domain.start()
-    version = domain.settle() + 1
+    version = domain.publish_until_single_reader() + 1
     large = make_large_config(version)
     domain.store.bytes_per_s = len(encode(large)) / SINGLE_READER_SECONDS
     started_at = monotonic()
     for number in (version, version + 1):
         domain.store.put_config({**large, "version": number})
-        domain.wait_folded(number)
+        domain.wait_applied(number)
     seconds = monotonic() - started_at
-    readers = domain.told(version) | domain.told(version + 1)
+    readers = domain.hosts_that_read(version) | domain.hosts_that_read(version + 1)
     assert len(readers) <= MAX_READERS
     assert seconds < 2 * MAX_READERS * SINGLE_READER_SECONDS
 
@@ -73,13 +73,13 @@
 def test_narrow_link_of_reader_delays_no_other_process(domain) -> None:
     """Guard against all processes waiting for this reader's response for 6 s."""
     domain.start()
-    version = domain.settle() + 1
-    reader = domain.told(version - 1).pop()
+    version = domain.publish_until_single_reader() + 1
+    reader = domain.hosts_that_read(version - 1).pop()
     large = make_large_config(version)
     domain.store.reader_rates[reader] = len(encode(large)) / NARROW_LINK_SECONDS
     started_at = monotonic()
     domain.store.put_config(large)
-    domain.wait_folded(version, set(domain.processes) - {reader})
+    domain.wait_applied(version, set(domain.processes) - {reader})
     assert monotonic() - started_at < LARGE_CONFIG_SECONDS
 
 
@@ -87,33 +87,33 @@
 def test_others_read_store_if_it_rejects_first_readers(domain, count) -> None:
     """Guard against a delay of 5 s at the others if the first 5 are rejected."""
     domain.start()
-    version = domain.settle() + 1
+    version = domain.publish_until_single_reader() + 1
     rejected_hosts = rendezvous_rank(TREE_KEY, GATEWAYS)[:count]
     domain.store.refused_readers.update(rejected_hosts)
     for host in rejected_hosts:
         domain.processes[host].wait_event("log-lost")
     started_at = monotonic()
     domain.store.put_config(make_config(version))
-    domain.wait_folded(version)
+    domain.wait_applied(version)
     assert monotonic() - started_at < CONFIG_SECONDS
 
 
 def test_a_store_that_answers_late_is_read_by_one_process(domain) -> None:
     """Guard against a reader that counts as stale 65 times in 6 s without changes."""
     domain.start()
-    version = domain.settle() + 1
+    version = domain.publish_until_single_reader() + 1
     domain.store.answer_delay_seconds = SLOW_ANSWER_SECONDS
     # Reads in progress are answered without the delay.
     domain.store.put_config(make_config(version))
-    domain.wait_folded(version)
-    avoided = domain.count_avoided()
+    domain.wait_applied(version)
+    avoided = domain.count_avoided_parents()
     for number in range(version + 1, version + 4):
         # No event marks a quiet interval, so the test waits for the time itself.
         sleep(QUIET_SECONDS)
         domain.store.put_config(make_config(number))
-        domain.wait_folded(number)
-        assert len(domain.told(number)) == 1
-    assert domain.count_avoided() - avoided <= MAX_AVOIDED
+        domain.wait_applied(number)
+        assert len(domain.hosts_that_read(number)) == 1
+    assert domain.count_avoided_parents() - avoided <= MAX_AVOIDED
 
 
 def newest_readers(domain: DomainSite) -> set[str]:
@@ -125,7 +125,7 @@
 def test_starting_process_waits_for_response_that_its_seed_receives(domain) -> None:
     """Guard against each starting process reading the same response over one link."""
     for host in (*GATEWAYS[1:], LOADER):
-        domain.rewrite(host, seed_nodes=[f"{GATEWAYS[0]}:1"])
+        domain.change_settings(host, seed_nodes=[f"{GATEWAYS[0]}:1"])
     large = make_large_config(1)
     domain.store.bytes_per_s = len(encode(large)) / SINGLE_READER_SECONDS
     domain.store.put_config(large)
@@ -134,5 +134,5 @@
     for host, process in domain.processes.items():
         if host != GATEWAYS[0]:
             process.start()
-    domain.wait_folded(1)
+    domain.wait_applied(1)
     assert newest_readers(domain) == {GATEWAYS[0]}
--- a/tests/platform/test_staging_reads.py
+++ b/tests/platform/test_staging_reads.py
@@ -68,7 +68,7 @@
 
 
 def test_staged_version_is_not_read_again_while_it_waits(late_switch_site) -> None:
-    late_switch_site.list_engine()
+    late_switch_site.register_engine()
     late_switch_site.list_early_engine()
     late_switch_site.start()
     late_switch_site.wait_serving(1)
@@ -81,7 +81,7 @@
 def test_staged_chunk_corrupted_while_waiting_is_repaired_before_start(
     late_switch_site,
 ) -> None:
-    late_switch_site.list_engine()
+    late_switch_site.register_engine()
     late_switch_site.list_early_engine()
     late_switch_site.start()
     late_switch_site.wait_serving(1)
--- a/tests/platform/test_stop.py
+++ b/tests/platform/test_stop.py
@@ -4,7 +4,7 @@
 import socket
 from threading import Event
 
-from gateway_site import receive_answer
+from gateway_site import receive_response
 
 from ridgecourse_standins.platform.engine import (
     ReceivedRequest,
@@ -45,7 +45,7 @@
     )
     idle_connection = front.open()
     front.send(idle_connection, "/safe/x")
-    assert receive_answer(idle_connection)[0] == 200
+    assert receive_response(idle_connection)[0] == 200
     front.gateway.started_process.send_signal(signal.SIGTERM)
     front.wait_until(lambda: front.ready() == 503)
     # The load balancer has not yet seen the failed readiness check: the gateway serves
@@ -57,7 +57,7 @@
     assert idle_connection.recv(1) == b""
     assert front.gateway.started_process.poll() is None
     proceed.set()
-    _, _, body, is_complete = receive_answer(stream_connection)
+    _, _, body, is_complete = receive_response(stream_connection)
     assert is_complete
     assert body == b"".join(format_event(number) for number in range(1, 4))
     assert front.gateway.started_process.wait(10) == 0
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -4,7 +4,7 @@
 from os import getpid
 from time import monotonic, sleep
 
-from gateway_site import make_config, make_route, receive_answer
+from gateway_site import make_config, make_route, receive_response
 from msgspec.json import encode
 
 from ridgecourse.net.figures import METRICS_PORT
@@ -60,7 +60,7 @@
     front.store.set_mode(StoreMode.UP)
     front.wait_until(lambda: "log-back" in front.gateway.events_path.read_text())
     assert front.ask("/safe/x")[0] == 200
-    front.list_engine(engine, "app")
+    front.register_engine(engine, "app")
     end = monotonic() + 3.5
     while monotonic() < end:
         assert front.ask("/safe/x")[0] == 200
@@ -71,7 +71,7 @@
     engine = front.add_engine("app")
     other_engine = front.add_engine("app")
     front.start()
-    front.list_engine(engine, "app", state="draining")
+    front.register_engine(engine, "app", state="draining")
     front.store.put_target("i-1", None)
     started_at = monotonic()
     front.wait_until(lambda: front.ask("/safe/x")[0] == 503, 2.0)
@@ -151,7 +151,7 @@
 def fetch_metrics(address: tuple[str, int]) -> tuple[int, bytes]:
     with socket.create_connection(address, 5.0) as connection:
         connection.sendall(b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
-        status, _, body, _ = receive_answer(connection)
+        status, _, body, _ = receive_response(connection)
     return status, body
 
 
--- a/tests/platform/test_suspension.py
+++ b/tests/platform/test_suspension.py
@@ -15,7 +15,7 @@
 
 SUSPENDED_SECONDS = 5
 SECONDS_BEYOND_ALL_BOUNDS = 10
-SUSPENDED_RUNNER = Path(__file__).parent / "suspended.py"
+SUSPENDED_RUNNER = Path(__file__).parent / "run_suspended.py"
 
 
 class SuspendedSite(GatewaySite):
--- a/tests/platform/test_target_reads.py
+++ b/tests/platform/test_target_reads.py
@@ -56,7 +56,7 @@
     def start(self, config=None) -> None:
         super().start(config)
         self.heartbeat_writer.start()
-        self.settle()
+        self.publish_until_single_reader()
 
     def readers(self) -> set[str]:
         """Watch the store and return the gateways that read the list from it."""
--- a/tests/platform/test_kept_transfers.py
+++ b/tests/platform/test_transfer_precedence.py
@@ -66,7 +66,7 @@
     narrow.start()
     started_at = monotonic()
     narrow.store.put_version(MODEL, 2)
-    for host in narrow.places:
+    for host in narrow.gateways:
         narrow.wait_for_version_chunks(host, 2, CHUNKS)
     narrow.origin.send_limit = narrow.origin.sent + CHUNKS // 4
     narrow.wait_for_version_chunks("127.0.0.1", 2, LOADER_CHUNKS)
--- a/tests/platform/test_needless_draws.py
+++ b/tests/platform/test_unneeded_fetches.py
@@ -16,8 +16,8 @@
 
 import pytest
 from gateway_site import MODEL
-from test_hubs import HubSite, end_work, make_hub
-from test_loader import CHUNKS, chunk_calls
+from test_hubs import HubSite, make_hub, stop_fetches
+from test_loader import CHUNKS, count_chunk_requests
 
 from ridgecourse.core.hubs import Peer
 from ridgecourse.core.ids import (
@@ -49,19 +49,19 @@
 
 def test_a_gateway_that_stops_draws_no_second_copy(hub_site) -> None:
     hub_site.start()
-    hub, successor = hub_site.ranked()
+    hub, successor = hub_site.hosts_hub_first()
     origin = hub_site.origin
-    fetched_before = chunk_calls(hub_site)
+    fetched_before = count_chunk_requests(hub_site)
     limit = origin.send_limit = origin.sent + 2
     hub_site.store.put_version(MODEL, 2)
     origin.wait_until(lambda: origin.sent == limit)
-    hub_site.places[hub].started_process.terminate()
+    hub_site.gateways[hub].started_process.terminate()
     hub_site.loader.wait_event("gateways-known", detail={"gateways": [successor]})
     origin.release()
     hub_site.wait_serving(2)
-    hub_site.places[successor].wait_event("version-complete", version="2")
-    assert hub_site.places[hub].started_process.wait(10) == 0
-    assert chunk_calls(hub_site) <= fetched_before + CHUNKS + ORIGIN_FETCHES
+    hub_site.gateways[successor].wait_event("version-complete", version="2")
+    assert hub_site.gateways[hub].started_process.wait(10) == 0
+    assert count_chunk_requests(hub_site) <= fetched_before + CHUNKS + ORIGIN_FETCHES
 
 
 def test_stopping_gateway_starts_no_fetch() -> None:
@@ -137,7 +137,7 @@
     hub = make_late_hub(8.1, 3)
     hub.request_version(SECOND_VERSION)
     assert not hub.fetching
-    end_work(hub)
+    stop_fetches(hub)
 
 
 def test_hub_fetches_the_older_version_if_the_newer_one_has_no_date() -> None:
--- a/tests/platform/test_name_dates.py
+++ b/tests/platform/test_version_dates.py
@@ -19,8 +19,8 @@
 import pytest
 from gateway_site import MODEL, make_config, make_large_config, make_route
 from msgspec.json import encode
-from test_late_callers import LoadedSite
-from test_requests import stream
+from test_late_requests import LoadedSite
+from test_request_forwarding import make_stream_behaviour
 
 from ridgecourse.core.ids import (
     Offset,
@@ -137,7 +137,7 @@
 def start_late(request: ReceivedRequest) -> None:
     """Start a stream later than any report of the engine implies."""
     sleep(FIRST_EVENT_DELAY_SECONDS)
-    stream(1, 2)(request)
+    make_stream_behaviour(1, 2)(request)
 
 
 def test_request_that_would_start_after_the_bound_is_not_sent(loaded_site) -> None:
--- a/tests/platform/foreign_reader.py
+++ b/tests/platform/view_reader.py
@@ -25,7 +25,7 @@
 from ridgecourse.platform.records import PlatformRecordDecoder
 from ridgecourse.platform.store import PlatformStore
 
-ENTRY: dict[str, Any] = {
+TARGET_ENTRY: dict[str, Any] = {
     "service": "llm",
     "address": "10.128.0.9:8080",
     "zone": "a",
@@ -49,7 +49,7 @@
 )
 
 
-class Answers:
+class PreparedAnswers:
     """HTTP client of the store that returns prepared answers.
 
     Attributes:
@@ -79,53 +79,55 @@
         self.metrics.count(kind.value)
         self.recorded.append((kind, detail))
 
-    def bad(self) -> list[dict[str, Any]]:
+    def bad_input_details(self) -> list[dict[str, Any]]:
         """Return the fields of each bad-input event."""
         return [detail for kind, detail in self.recorded if kind is EventKind.BAD_INPUT]
 
 
-class Reader:
+class ViewReader:
     """A ``ClusterView`` that reads records from prepared answers of the store.
 
     Attributes:
         events: Events of the view.
-        keeper: Mock of the source of pinned decisions.
+        pinned_decisions: Mock of the source of pinned decisions.
         view: The view under test.
         end: Offset after the last record that was read.
     """
 
     def __init__(self) -> None:
         self.events = RecordingEventStream()
-        self.keeper = Mock()
+        self.pinned_decisions = Mock()
         decoder = PlatformRecordDecoder()
-        self.view = ClusterView(Mock(), self.keeper, decoder, self.events, 8.0)
+        self.view = ClusterView(
+            Mock(), self.pinned_decisions, decoder, self.events, 8.0
+        )
         self.end = 0
 
-    def read(self, topic: Topic, *records: tuple[bytes, bytes]) -> None:
+    def apply_answer(self, topic: Topic, *records: tuple[bytes, bytes]) -> None:
         """Apply an answer of the store that contains the given keys and values."""
         parts = [raw_record(key, value) for key, value in records]
-        self.read_raw(topic, parts)
+        self.apply_encoded_answer(topic, parts)
 
-    def read_raw(self, topic: Topic, parts: Sequence[bytes]) -> None:
+    def apply_encoded_answer(self, topic: Topic, parts: Sequence[bytes]) -> None:
         """Apply an answer of the store that contains the given encoded records."""
         start, self.end = self.end, self.end + len(parts)
         answer = pack(">QQ", self.end, 0) + b"".join(parts)
-        store = PlatformStore("store:1", Answers(answer))  # type: ignore[arg-type]
+        store = PlatformStore("store:1", PreparedAnswers(answer))  # type: ignore[arg-type]
         batch = store.read(topic, Offset(start), 0.0)
         assert batch.end == self.end
         self.view.apply(topic, batch, False)
 
-    def list(self, *entries: tuple[str, Any]) -> None:
+    def list_targets(self, *entries: tuple[str, Any]) -> None:
         """Apply records that list targets, given as pairs of target and entry."""
-        self.read(
+        self.apply_answer(
             Topic.TARGETS, *((key.encode(), encode(entry)) for key, entry in entries)
         )
 
-    def decide(self, key: str, decision: Any) -> None:
+    def apply_decision(self, key: str, decision: Any) -> None:
         """Apply the record of an operator's decision."""
-        self.read(Topic.DECISIONS, (key.encode(), encode(decision)))
+        self.apply_answer(Topic.DECISIONS, (key.encode(), encode(decision)))
 
-    def serving(self) -> set[str]:
+    def serving_targets(self) -> set[str]:
         """Return the targets that serve the service ``llm``."""
         return {
             target.target for target in self.view.serving_targets(ServiceName("llm"))
@@ -138,11 +140,11 @@
     return pack(">I", len(body)) + body
 
 
-def change(entry: dict[str, Any], **fields: Any) -> dict[str, Any]:
+def with_fields(entry: dict[str, Any], **fields: Any) -> dict[str, Any]:
     """Return a copy of an entry with other values for the given fields."""
     return {**entry, **fields}
 
 
-def without(entry: dict[str, Any], field: str) -> dict[str, Any]:
+def without_field(entry: dict[str, Any], field: str) -> dict[str, Any]:
     """Return a copy of an entry that lacks a field."""
     return {name: value for name, value in entry.items() if name != field}
--- a/tests/test_known_red.py
+++ b/tests/test_known_failures.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import pytest
-from known_red import KnownFailure, parse_line, read_known_failures
+from known_failures import KnownFailure, parse_line, read_known_failures
 
 
 def test_line_is_split_into_test_cause_and_issue() -> None:
