--- a/src/ridgecourse/core/crash_suspects.py
+++ b/src/ridgecourse/core/crash_suspects.py
@@ -1,17 +1,19 @@
 """Detection of requests that crash engines, and the rules for sending such a request.
 
-One request may crash each engine that starts to run it, and arrive several times per
-second at any gateway. Seen from a gateway, all requests at a crashed engine are equally
-suspect, and engines also end for other reasons. The rules are:
+One request may crash each engine that starts to run it, and clients may send that
+request several times per second, to any gateway. A gateway cannot see which of the
+requests at an engine made it crash, and engines also end for other reasons. The rules
+are:
 
 - Each request that was at an engine when the engine ended gets a strike for that
-  incarnation of the engine.
-- An answer from any engine clears a request of all its strikes.
+  incarnation of the engine. A strike expires after ``STRIKE_SECONDS``.
+- An answer from any engine clears a request of all strikes that it has so far.
 - A request with strikes runs once at a time at this gateway. From the second strike on,
-  the request runs only once among all gateways, and on an engine that runs no other
-  request with strikes.
-- A request with 3 strikes is blocked. Ends that a blocked request explains are no
-  strikes against the other requests that were at the same engine.
+  the request runs only once at a time among all gateways, and on an engine that runs no
+  other request with strikes. Such a run is called a trial.
+- A request with 3 strikes is blocked: it is sent to no engine until enough strikes
+  have expired. The end of an engine that ran a blocked request is attributed to that
+  request, so it does not count as a strike against other requests at the same engine.
 
 Gateways exchange their records as ``CrashReport``. Applying a crash report is
 idempotent and independent of the order, so reports may be lost, duplicated or late.
@@ -33,19 +35,21 @@
 from ridgecourse.core.ids import ProcessName, RequestSignature, Seconds
 
 BLOCKING_STRIKES = 3
-"""Strikes from which on a request is blocked. The end of 1 engine is a coincidence, and
-a second end may be one; a third costs clients more than the request is worth."""
+"""Number of strikes from which on a request is blocked. The end of 1 engine is taken
+for a coincidence, and a second end may be one; a third end costs clients more than the
+request is worth."""
 EXCLUSIVE_STRIKES = 2
-"""Strikes from which on a request runs only once among all gateways."""
+"""Number of strikes from which on a request runs only once at a time among all
+gateways."""
 TRIAL_SECONDS = 2.0
-"""Time for which another gateway is assumed to run a request without a further report:
-a usual answer is complete by then."""
-RANKING_INTERVAL_SECONDS = 1.0
-"""Interval at which expired strikes are dropped."""
+"""Time after a crash report for which the reporting gateway is assumed to run the
+request on trial, unless it reports again: a usual answer is complete by then."""
+EXPIRY_CHECK_INTERVAL_SECONDS = 1.0
+"""Minimum interval between two checks for expired strikes while no strikes change."""
 MAX_SUSPECTS = 256
 """Maximum number of suspected requests; those with the fewest strikes are dropped
-first. The end of an engine is a strike against each of the requests at the engine, some
-tens."""
+first. Each end of an engine adds a strike to some tens of requests: all that were at
+the engine."""
 MAX_SUCCESSES = 2048
 """Maximum number of requests remembered as answered: at 50 per second, those of the
 last 40 s of a gateway."""
@@ -55,7 +59,8 @@
     """The decision whether a request may be sent.
 
     FREE: The request may be sent at once.
-    WAIT: The request may be sent when its result at another engine is known.
+    WAIT: The request is running on an engine already; it may be sent again when the
+        result of that run is known.
     BLOCKED: The request must not be sent.
     """
 
@@ -68,13 +73,14 @@
     """The requests that may crash engines, as one gateway knows them.
 
     Attributes:
-        suspects: Requests with strikes, including cleared ones.
+        suspects: Requests with strikes, including requests whose strikes are cleared.
         successes: Time of the last answer to each request.
         flights: Requests of this gateway in flight, by request and engine.
-        blocked: Blocked requests with their strikes.
-        counts: Number of strikes of each request that no blocked request explains.
-        ranked_at: Time at which ``blocked`` and ``counts`` were computed; None if they
-            are outdated.
+        blocked: Blocked requests, each with the engines whose ends are its strikes.
+        strike_counts: Number of strikes of each suspected request, without the ends
+            that are attributed to another, blocked request.
+        computed_at: Time at which ``blocked`` and ``strike_counts`` were computed; None
+            if they are outdated.
     """
 
     def __init__(self) -> None:
@@ -82,8 +88,8 @@
         self.successes: OrderedDict[RequestSignature, Seconds] = OrderedDict()
         self.flights: dict[RequestSignature, Counter[EngineIncarnation]] = {}
         self.blocked: dict[RequestSignature, frozenset[EngineIncarnation]] = {}
-        self.counts: dict[RequestSignature, int] = {}
-        self.ranked_at: Seconds | None = None
+        self.strike_counts: dict[RequestSignature, int] = {}
+        self.computed_at: Seconds | None = None
 
     # Decisions.
 
@@ -102,22 +108,26 @@
         return SendDecision.FREE
 
     def count_strikes(self, signature: RequestSignature, now: Seconds) -> int:
-        """Return the number of strikes of a request without another explanation.
+        """Return the number of strikes that count against a request.
 
-        The strike of a request that is not blocked has another explanation if a blocked
-        request was at the same engine.
+        If the request is not blocked, the end of an engine does not count if it is
+        attributed to a blocked request that was at the same engine.
         """
-        self._rank_if_outdated(now)
-        return self.counts.get(signature, 0)
+        self._recompute_if_outdated(now)
+        return self.strike_counts.get(signature, 0)
 
     def find_blocked(self, now: Seconds) -> frozenset[RequestSignature]:
-        """Return the blocked requests."""
-        self._rank_if_outdated(now)
+        """Return the requests that are currently blocked."""
+        self._recompute_if_outdated(now)
         return frozenset(self.blocked)
 
     def blocked_seconds(self, signature: RequestSignature, now: Seconds) -> float:
-        """Return the seconds until a blocked request may be tried again."""
-        self._rank_if_outdated(now)
+        """Return the seconds until a blocked request may be sent again.
+
+        This is when so many of its strikes have expired that fewer than
+        ``BLOCKING_STRIKES`` remain.
+        """
+        self._recompute_if_outdated(now)
         suspect = self.suspects[signature]
         ends = sorted(
             suspect.ends[incarnation] for incarnation in self.blocked[signature]
@@ -129,8 +139,11 @@
     ) -> Set[EngineIncarnation]:
         """Return the engines to which a request should not be sent.
 
-        A request that crashes its engine fails the other requests at the engine. And 2
-        requests with strikes on the same engine would both get the next strike.
+        A request with at least ``EXCLUSIVE_STRIKES`` strikes avoids the engines that
+        run another request with any strikes: 2 requests with strikes on the same engine
+        would both get a strike if the engine ended. Any other request avoids the
+        engines that run a request with at least ``EXCLUSIVE_STRIKES`` strikes: if that
+        request crashes the engine, the other requests at the engine fail.
         """
         if not self.suspects:
             return frozenset()
@@ -141,7 +154,7 @@
         )
         incarnations: set[EngineIncarnation] = set()
         for other, suspect in self.suspects.items():
-            if other != signature and self.counts[other] >= min_strikes:
+            if other != signature and self.strike_counts[other] >= min_strikes:
                 incarnations.update(self.flights.get(other, ()))
                 incarnations.update(suspect.trial_incarnations(now))
         return incarnations
@@ -157,7 +170,7 @@
     def finish(
         self, signature: RequestSignature, incarnation: EngineIncarnation
     ) -> None:
-        """Record that a request has left an engine."""
+        """Record that a request is no longer in flight at an engine."""
         flights = self.flights[signature]
         flights[incarnation] -= 1
         if not flights[incarnation]:
@@ -179,7 +192,8 @@
             ended_at: Time at which the engine ended.
 
         Returns:
-            Whether the state of the request has changed.
+            Whether the strikes of the request, including the cleared ones, have
+            changed.
         """
         suspect = self._get_or_add_suspect(signature)
         known_end = suspect.ends.get(incarnation)
@@ -188,7 +202,7 @@
         answered_at = self.successes.get(signature)
         is_cleared = answered_at is not None and answered_at > first_ended_at
         if is_cleared and incarnation not in suspect.cleared:
-            # The report is late: the request has been answered after this end.
+            # This end is recorded only now, but the request has been answered since.
             suspect.cleared[incarnation] = first_ended_at
         elif known_end is not None:
             return False
@@ -199,7 +213,7 @@
         """Record that a request was answered.
 
         Returns:
-            Whether the answer clears the request of strikes.
+            Whether the request had strikes, which the answer has cleared.
         """
         self.successes.pop(signature, None)
         self.successes[signature] = now
@@ -215,7 +229,11 @@
     # Exchange with other gateways.
 
     def make_report(self, signature: RequestSignature, now: Seconds) -> CrashReport:
-        """Return the crash report on a request."""
+        """Return this gateway's crash report on a suspected request.
+
+        From ``EXCLUSIVE_STRIKES`` strikes on, the report also contains the engine on
+        which this gateway runs the request, so that no other gateway sends it.
+        """
         suspect = self.suspects[signature]
         is_exclusive = self.count_strikes(signature, now) >= EXCLUSIVE_STRIKES
         flights = self.flights.get(signature) if is_exclusive else None
@@ -227,65 +245,69 @@
         )
 
     def apply_report(
-        self, news: CrashReport, sender: ProcessName, now: Seconds
+        self, report: CrashReport, sender: ProcessName, now: Seconds
     ) -> bool:
         """Apply a crash report of another gateway.
 
         Args:
-            news: Crash report.
+            report: Crash report.
             sender: Process name of the other gateway.
             now: Current time.
 
         Returns:
             Whether the report has changed the ends or the cleared ends of the request.
         """
-        ends = [end for end in news.ends if end.age <= STRIKE_SECONDS]
+        ends = [end for end in report.ends if end.age <= STRIKE_SECONDS]
         if not ends:
             return False
-        suspect = self._get_or_add_suspect(news.signature)
-        if len(news.uncleared()) >= EXCLUSIVE_STRIKES:
+        suspect = self._get_or_add_suspect(report.signature)
+        if len(report.uncleared()) >= EXCLUSIVE_STRIKES:
             suspect.is_sent_to_all = True
         changes = [
-            self.record_end(news.signature, end.incarnation, Seconds(now - end.age))
+            self.record_end(report.signature, end.incarnation, Seconds(now - end.age))
             for end in ends
         ]
         cleared = [
-            end for end in news.cleared if end.incarnation not in suspect.cleared
+            end for end in report.cleared if end.incarnation not in suspect.cleared
         ]
         for end in cleared:
             suspect.cleared[end.incarnation] = Seconds(now - end.age)
-        if news.trial is None:
+        if report.trial is None:
             suspect.trials.pop(sender, None)
         else:
-            suspect.trials[sender] = Trial(news.trial, Seconds(now + TRIAL_SECONDS))
+            suspect.trials[sender] = Trial(report.trial, Seconds(now + TRIAL_SECONDS))
         if not any(changes) and not cleared:
             return False
         self._record_change(suspect, now)
         return True
 
     def must_inform_all(self, signature: RequestSignature, now: Seconds) -> bool:
-        """Check whether all gateways must be informed of a request from now on.
+        """Check whether the reports on a request go to all gateways.
 
-        A single strike is reported to a few gateways only, because the end of an engine
-        is a strike against every request that ran there.
+        This is so from ``EXCLUSIVE_STRIKES`` strikes on; it is recorded and stays so
+        when strikes are cleared. A single strike is reported to a few gateways only,
+        because the end of an engine is a strike against every request that ran there.
         """
         suspect = self.suspects[signature]
         if self.count_strikes(signature, now) >= EXCLUSIVE_STRIKES:
             suspect.is_sent_to_all = True
         return suspect.is_sent_to_all
 
-    def has_more_strikes(self, news: CrashReport, now: Seconds) -> bool:
-        """Check whether all gateways need more strikes than a crash report contains.
+    def has_more_strikes(self, report: CrashReport, now: Seconds) -> bool:
+        """Check whether this gateway must report more strikes than another one did.
+
+        This is so if the request has at least ``EXCLUSIVE_STRIKES`` strikes here, of
+        which all gateways must know, and more than the other gateway's report contains.
 
         Args:
-            news: Crash report of another gateway.
+            report: Crash report of another gateway.
             now: Current time.
         """
-        count = self.count_strikes(news.signature, now)
-        return count >= EXCLUSIVE_STRIKES and count > len(news.uncleared())
+        count = self.count_strikes(report.signature, now)
+        return count >= EXCLUSIVE_STRIKES and count > len(report.uncleared())
 
     def recently_changed(self, now: Seconds, span: float) -> list[RequestSignature]:
-        """Return the requests that changed within a time span.
+        """Return the requests whose strikes changed within the last ``span`` seconds.
 
         Args:
             now: Current time.
@@ -298,11 +320,15 @@
         ]
 
     def find_exclusive(self, now: Seconds) -> list[RequestSignature]:
-        """Return the requests that are reported to other gateways at any age."""
-        self._rank_if_outdated(now)
+        """Return the requests that run only once at a time among all gateways.
+
+        Other gateways need the reports on these requests even if the strikes have not
+        changed for a long time.
+        """
+        self._recompute_if_outdated(now)
         return [
             signature
-            for signature, count in self.counts.items()
+            for signature, count in self.strike_counts.items()
             if count >= EXCLUSIVE_STRIKES
         ]
 
@@ -316,20 +342,26 @@
         return self.suspects[signature]
 
     def _retention_key(self, signature: RequestSignature) -> tuple[int, Seconds]:
-        """Return the sort key for dropping suspects: the lowest is dropped first."""
+        """Return the sort key for dropping suspects; the lowest is dropped first.
+
+        The key is the number of uncleared ends, then the time of the last change.
+        """
         suspect = self.suspects[signature]
         return len(suspect.ends.keys() - suspect.cleared.keys()), suspect.changed_at
 
     def _record_change(self, suspect: Suspect, now: Seconds) -> None:
         suspect.changed_at = max(suspect.changed_at, now)
-        self.ranked_at = None
+        self.computed_at = None
 
-    def _rank_if_outdated(self, now: Seconds) -> None:
-        """Compute the blocked requests after a change or when strikes may expire."""
-        if self.ranked_at is None or now - self.ranked_at > RANKING_INTERVAL_SECONDS:
+    def _recompute_if_outdated(self, now: Seconds) -> None:
+        """Recompute the blocked requests after a change or when strikes may expire."""
+        if (
+            self.computed_at is None
+            or now - self.computed_at > EXPIRY_CHECK_INTERVAL_SECONDS
+        ):
             self._drop_expired(now)
-            self._rank(now)
-            self.ranked_at = now
+            self._recompute(now)
+            self.computed_at = now
 
     def _drop_expired(self, now: Seconds) -> None:
         for signature, suspect in list(self.suspects.items()):
@@ -343,11 +375,13 @@
             else:
                 del self.suspects[signature]
 
-    def _rank(self, now: Seconds) -> None:
-        """Find the requests that explain the most ends, and the ends they explain.
+    def _recompute(self, now: Seconds) -> None:
+        """Compute the blocked requests and the strikes that count against each request.
 
-        Requests with equally many strikes do not explain each other's strikes: each of
-        them may be the culprit.
+        Requests are considered in the order of their strikes, the most strikes first.
+        An end that is a strike against a blocked request is attributed to it, and does
+        not count for requests with fewer strikes. Between requests with equally many
+        strikes nothing is attributed: each of them may be the culprit.
         """
         strikes_by_request = {
             signature: suspect.strikes(now)
@@ -360,21 +394,21 @@
         }
         ordered = sorted(candidates, key=lambda signature: -len(candidates[signature]))
         blocked: dict[RequestSignature, frozenset[EngineIncarnation]] = {}
-        explained: set[EngineIncarnation] = set()
-        for _, names in groupby(
+        attributed: set[EngineIncarnation] = set()
+        for _, signatures in groupby(
             ordered, key=lambda signature: len(candidates[signature])
         ):
             culprits = [
                 signature
-                for signature in names
-                if len(candidates[signature] - explained) >= BLOCKING_STRIKES
+                for signature in signatures
+                if len(candidates[signature] - attributed) >= BLOCKING_STRIKES
             ]
             for signature in culprits:
                 blocked[signature] = candidates[signature]
             for signature in culprits:
-                explained.update(candidates[signature])
+                attributed.update(candidates[signature])
         self.blocked = blocked
-        self.counts = {
-            signature: len(strikes if signature in blocked else strikes - explained)
+        self.strike_counts = {
+            signature: len(strikes if signature in blocked else strikes - attributed)
             for signature, strikes in strikes_by_request.items()
         }
--- a/src/ridgecourse/core/engine_load.py
+++ b/src/ridgecourse/core/engine_load.py
@@ -2,14 +2,17 @@
 
 An engine runs ``slots`` requests at once, in passes. In each pass, the engine prefills
 all prompts that arrived during the previous pass and then decodes some tokens of each
-answer. So a request waits for the prefill of the prompts that arrived before it: of 16
-requests that reach an engine at once, each waits for all 16, even if no slot is taken.
-At saturation, a request ends every
+answer. So a request waits for the prefill of all prompts of its pass: of 16 requests
+that reach an engine at once, each waits for the prefill of all 16, even if no slot is
+taken. At saturation, a request ends on average every
 
     prompt / prompt_rate + answer * step / slots
 
-seconds, and requests that wait for a slot start at the same rate. The parameters come
-from the service's configuration; a slow engine reports by which factor it is slower.
+seconds, and requests that wait for a slot start at the same rate. Here ``prompt`` and
+``answer`` are the mean lengths in tokens, and ``step`` is the duration of a decoding
+step of the full batch; ``prefill_seconds`` adds a term for long prompts. The parameters
+come from the service's configuration; a slow engine reports by which factor it is
+slower.
 """
 
 from msgspec import Struct, field
@@ -18,12 +21,15 @@
 from ridgecourse.core.routes import EngineModel
 
 FRESH_SECONDS = 1.5
-"""Age up to which a load report is used; a heartbeat arrives every second."""
+"""Age up to which a load report is used; a heartbeat, which contains the load, arrives
+every second."""
 HEARTBEAT_AGE_SECONDS = 0.3
-"""Age of the newest report above which the load in a heartbeat, which has no sequence
-number, is applied. Changes are reported within 0.1 s unless a datagram is lost."""
+"""The load in a heartbeat is applied only if the newest report is older than this: a
+heartbeat has no sequence number, so it cannot be compared with reports in datagrams.
+These report changes within 0.1 s unless a datagram is lost."""
 REPORT_LAG_SECONDS = 0.05
-"""A request sent less than this time before a report arrived is not counted in it."""
+"""A request that was sent less than this time before a report arrived is assumed not to
+be counted in the report."""
 SILENT_WAIT_SECONDS = 0.5
 """Wait added for an engine whose loader has stopped reporting: the instance may be
 frozen, and requests sent to a frozen instance hang."""
@@ -31,27 +37,29 @@
 """Time after which a silent loader adds no wait to its engine. By then, a frozen
 instance has resumed or its target has been removed from the list."""
 SLOW_LINK_SHARE = 0.5
-"""Share of its usual rate below which a link counts as slow. Traffic that competes with
-the weights for the link takes a smaller share than that."""
+"""Share of its usual rate below which a link counts as slow. A link whose bandwidth has
+not dropped stays above it, since other traffic takes a smaller share from the weights'
+transfer."""
 SLOW_LINK_SECONDS = 0.8
-"""Wait added for a slow link: requests to the engine behind the link, and the
-connection closes that cancel them, took up to 1 second."""
+"""Wait added for a slow link: requests over such a link, and the closing of connections
+that cancels requests, took up to 1 second."""
 UNKNOWN_DELAY_SECONDS = 1.2
-"""Network delay assumed for an engine whose loader does not report. Bytes took this
-long to reach an engine behind a link of 0.5 Mbit/s that had just been restored."""
+"""Network delay assumed for an engine whose loader does not report. Data took this long
+to reach an engine behind a link of 0.5 Mbit/s that had just been restored."""
 PREFILL_ALLOWANCE_SECONDS = 0.3
-"""Time that the prefill of its own prompt and of other prompts adds to the time for
-which a request stays at an engine."""
+"""Time that a request spends at an engine in addition to its decoding steps, for the
+prefill of its own prompt and of other prompts."""
 OVERDUE_SECONDS = 0.6
 """A request that waits longer than this for its first event shows that its engine is
-slower than reported; the usual time is 0.1 to 0.3 s."""
+slower than reported; the usual time to the first event is 0.1 to 0.3 s."""
 
 
 class EngineStatus(Struct, frozen=True, array_like=True):
     """The load of an engine as reported by its loader.
 
     Attributes:
-        version: Version of the weights that the engine serves completely; 0 for none.
+        version: Version of the weights of which the engine serves all layers; 0 if
+            there is none.
         busy: Whether the engine executes an order and accepts no new requests.
         queued: Number of waiting requests.
         active: Number of requests in progress.
@@ -81,10 +89,10 @@
 
     An engine reports how many requests it has, but not how many of them are prefilled.
     The requests that arrived since the last poll count as not prefilled. The backlog of
-    the last poll shrinks by the time that has passed.
+    the last poll shrinks by the time that has passed since.
 
     Attributes:
-        seconds: Estimate at the last poll, in seconds.
+        seconds: Estimated remaining prefill time at the last poll, in seconds.
         requests: Number of requests at the last poll.
         updated_at: Time of the last poll; None before the first poll.
     """
@@ -112,8 +120,8 @@
             )
             arrived = max(0.0, requests - self.requests + ended)
             prefill = prefill_seconds(model, model.prompt_tokens)
-            unread = max(0.0, self.seconds - elapsed) + arrived * prefill
-            self.seconds = min(unread, requests * prefill)
+            backlog = max(0.0, self.seconds - elapsed) + arrived * prefill
+            self.seconds = min(backlog, requests * prefill)
         self.requests = requests
         self.updated_at = now
         return self.seconds
@@ -166,9 +174,9 @@
         """Check whether a report is to be applied; datagrams may arrive out of order.
 
         Args:
-            number: Sequence number of the report. A report on a connection has 0; it
-                cannot arrive out of order, and is only needed when no report has
-                arrived for some time.
+            number: Sequence number of a report in a datagram. A report in a heartbeat
+                has 0: it arrives on a connection, so it cannot arrive out of order, and
+                is only needed if none arrived for ``HEARTBEAT_AGE_SECONDS``.
             now: Current time.
         """
         if not self.is_fresh(now):
@@ -222,9 +230,9 @@
         )
 
     def overdue_seconds(self, now: Seconds) -> float:
-        """Return by how many seconds the first event of the oldest request is overdue.
+        """Return by how many seconds the most overdue first event is overdue.
 
-        Only requests of this gateway count.
+        Only requests of this gateway count; 0 if no first event is overdue.
         """
         if not self.pending:
             return 0.0
@@ -234,7 +242,11 @@
     def wait(
         self, model: EngineModel, slots: int, now: Seconds, gateways: int
     ) -> float:
-        """Return the seconds until one more request would start.
+        """Return the estimated seconds until one more request would start.
+
+        The request starts when both a slot is free and the earlier prompts are
+        prefilled, so the longer of these two times counts. Observed faults and delays
+        are added.
 
         Args:
             model: Speed and size of the engine.
@@ -249,7 +261,7 @@
         return backlog + self._health_penalty(now) + self.overdue_seconds(now)
 
     def _health_penalty(self, now: Seconds) -> float:
-        """Return the wait added for a silent loader or a slow link, in seconds."""
+        """Return the seconds of wait added for a silent loader or a slow link."""
         age = now - self.reported_at
         if self.status is not None and FRESH_SECONDS < age < SILENCE_EXPIRY_SECONDS:
             return SILENT_WAIT_SECONDS
@@ -260,6 +272,7 @@
         return self._link_delay(now) if self.is_fresh(now) else UNKNOWN_DELAY_SECONDS
 
     def _link_delay(self, now: Seconds) -> float:
+        """Return the delay of a link that is reported as slow, in seconds; else 0."""
         status = self.status
         if (
             status is None
@@ -271,7 +284,7 @@
 
 
 def seconds_per_request(model: EngineModel, slots: int) -> float:
-    """Return the seconds between the ends of two requests at a full engine.
+    """Return the mean seconds between the ends of two requests at a full engine.
 
     Args:
         model: Speed and size of the engine.
@@ -286,16 +299,22 @@
 
 
 def _request_seconds(model: EngineModel) -> float:
-    """Return the duration of a request of mean length in a half full batch."""
+    """Return the estimated duration of a request of mean length in a half full batch.
+
+    Only the base duration of a decoding step is counted.
+    """
     return model.answer_tokens * model.step + PREFILL_ALLOWANCE_SECONDS
 
 
 def prefill_seconds(model: EngineModel, tokens: float) -> float:
     """Return the prefill time of a prompt, in seconds.
 
+    One part is proportional to the prompt's length, another to its number of pairs of
+    tokens.
+
     Args:
         model: Speed and size of the engine.
-        tokens: Length of the prompt.
+        tokens: Length of the prompt, in tokens.
     """
     token_pairs = tokens * tokens / 2
     return tokens / max(1.0, model.prompt_rate) + token_pairs * model.pair_seconds
--- a/src/ridgecourse/gateway/selection.py
+++ b/src/ridgecourse/gateway/selection.py
@@ -1,4 +1,8 @@
-"""Select the target that can start a request first, preferring near targets."""
+"""Select the target that can start a request first.
+
+A target outside the gateway's own region has an extra cost, so that a target in the
+region is chosen unless it would start the request much later.
+"""
 
 from collections import defaultdict
 from collections.abc import Collection
@@ -30,16 +34,16 @@
 from ridgecourse.net.clock import boottime
 
 PLAIN_REQUEST_SECONDS = 0.06
-"""Estimated time of a plain service's request, while its targets report no loads."""
+"""Estimated time, in seconds, that a target needs for a request of a service without
+model engines. The targets of such a service report no loads."""
 MISSING_WEIGHTS_PAUSE_SECONDS = 1.0
-"""How long no request is sent to a target that answered that it lacks the weights. The
-target's entry in the list lags by about one heartbeat."""
+"""Seconds for which another target is preferred to one that answered that it lacks the
+weights. The list of targets reflects this about one heartbeat later."""
 MAX_LIMIT_DELAY_SECONDS = 0.25
-"""Longest wait for a target's rate limit: about the time after which a refused client
-would retry."""
+"""Longest wait for a target's rate limit, in seconds: about the time after which a
+refused client would retry."""
 REFUSED_PAUSE_SECONDS = 0.15
-"""How long no request is sent to a target after a refusal, unless the target
-reports its load."""
+"""Seconds for which another target is preferred to one that refused a request."""
 
 
 class VersionTerms(Struct, frozen=True):
@@ -47,8 +51,10 @@
 
     Attributes:
         held: The version that the engine is assumed to have; None if it is not known.
-        version: The only allowed version; None for the version that the engine has.
-        begin_by: Latest start on these weights; None for any time.
+        version: The version that the request names and that the engine must have; None
+            if the request may run on the version that the engine has.
+        begin_by: Time by which the request must have started on these weights; None if
+            it may start at any time.
     """
 
     held: WeightsVersion | None
@@ -62,7 +68,7 @@
     Attributes:
         target: The target.
         wait: Estimated seconds until the request would start at the target.
-        prefill_time: Estimated seconds in which the target processes the prompt.
+        prefill_time: Estimated seconds that the target needs to prefill the prompt.
         terms: Weights on which the request may run.
         hold: Seconds until the target's rate limit allows the request.
     """
@@ -75,7 +81,7 @@
 
 
 class TargetSelector:
-    """Selects the target of each send.
+    """Selects the target for each attempt to send a request.
 
     Attributes:
         site: The settings in force.
@@ -83,8 +89,9 @@
         load_watcher: Provides the engines' loads.
         lag: Recent peak delay of timers in this process.
         limit_watch: Tracks the rate limits that targets report.
-        random: Spreads requests among similar targets.
-        first_event_delays: Delay of first events beyond the estimates, by service.
+        random: Random number generator that spreads requests among similar targets.
+        first_event_delays: By how much first events came later than estimated, by
+            service.
         states: Health observed for each target.
     """
 
@@ -133,8 +140,18 @@
     ) -> Choice | None:
         """Return the target for a request, or None if there is none.
 
-        If all targets have rate limits, the ``hold`` of the result may exceed
-        ``MAX_LIMIT_DELAY_SECONDS``; the request is then not sent.
+        Among the targets that can serve the request, these criteria apply in turn; all
+        but the first are ignored if no target meets them:
+
+        1. The rate limit allows the request within ``MAX_LIMIT_DELAY_SECONDS``.
+        2. The target's weights are known to be allowed.
+        3. The incarnation is not to be avoided.
+        4. The target is not paused or ejected; else the first to become available is
+           chosen.
+
+        Among the remaining targets, the one with the lowest cost is chosen. If no
+        target meets the first criterion, the one with the shortest ``hold`` is
+        returned; the request must then not be sent.
 
         Args:
             service: The service that is requested.
@@ -150,7 +167,9 @@
             and self._can_serve(service, target, now)
         ]
         choices = [self._estimate(service, call, target, now) for target in eligible]
-        choices = [choice for choice in choices if not self._is_outdated(choice, now)]
+        choices = [
+            choice for choice in choices if not self._lacks_named_version(choice, now)
+        ]
         admissible = [
             choice for choice in choices if choice.hold <= MAX_LIMIT_DELAY_SECONDS
         ]
@@ -158,9 +177,9 @@
             return min(choices, key=lambda choice: choice.hold)
         choices = admissible
         # Targets whose weights are known to be allowed take precedence over targets
-        # that may have received such weights.
-        current = [choice for choice in choices if choice.terms.version is None]
-        choices = current or choices
+        # that may have received allowed weights since the last report.
+        known_allowed = [choice for choice in choices if choice.terms.version is None]
+        choices = known_allowed or choices
         if avoided:
             not_avoided = [
                 choice
@@ -180,22 +199,26 @@
         return min(available, key=self._cost)
 
     def _can_serve(self, service: Service, target: ListedTarget, now: Seconds) -> bool:
-        """Check whether a target has weights and accepts new requests."""
+        """Check whether a target has all layers of some weights and accepts requests.
+
+        A target of a service without weights can always serve.
+        """
         if service.engine is None or not service.engine.layers:
             return True
         load = self.load(target)
         if load.status is not None and load.is_fresh(now):
             return load.status.version > 0 and not load.status.busy
-        # The list describes an earlier incarnation, whose weights a new incarnation
-        # lacks.
+        # If the list describes an earlier incarnation, the latest one lacks the weights
+        # that are listed.
         return not target.incarnation.precedes(
             self.incarnation(target)
         ) and target.holds_model(service.engine.layers)
 
-    def _is_outdated(self, choice: Choice, now: Seconds) -> bool:
-        """Check whether an engine has just reported weights that are too old.
+    def _lacks_named_version(self, choice: Choice, now: Seconds) -> bool:
+        """Check whether an engine is known to lack the version that a request names.
 
-        An engine is asked for other weights only if there is no fresh report.
+        A request is sent for a version other than the last known one only if no fresh
+        report says which version the engine has.
         """
         if choice.terms.version is None:
             return False
@@ -207,18 +230,20 @@
     def _estimate(
         self, service: Service, call: ClientRequest, target: ListedTarget, now: Seconds
     ) -> Choice:
+        """Estimate when a request could start at a target, and on which weights."""
         load = self.load(target)
-        reading = 0.0
+        prefill_time = 0.0
         hold = self.limit_watch.wait(target, self.incarnation(target))
         if service.engine is None:
             wait = load.outstanding * PLAIN_REQUEST_SECONDS / max(1, target.slots)
         else:
             wait = load.wait(service.engine, target.slots, now, ASSUMED_SENDERS)
-            reading = prefill_seconds(service.engine, call.prompt_tokens)
+            prefill_time = prefill_seconds(service.engine, call.prompt_tokens)
         terms = self._version_terms(call.model, target, now, wait)
-        return Choice(target, max(wait, hold), reading, terms, hold)
+        return Choice(target, max(wait, hold), prefill_time, terms, hold)
 
     def _cost(self, choice: Choice) -> float:
+        """Return the placement cost of a choice, in seconds; the lowest is best."""
         target = choice.target
         is_near = self.site.region(target.domain) == self.site.region(self.site.domain)
         now = boottime()
@@ -232,7 +257,11 @@
     def _held_version(
         self, model: ModelName, target: ListedTarget, now: Seconds
     ) -> WeightsVersion | None:
-        """Return the version that an engine serves, by its report or the list."""
+        """Return the version that an engine serves; None if it is not known.
+
+        Without a fresh report of the engine, the list of targets is used, unless the
+        list describes an earlier incarnation.
+        """
         load = self.load(target)
         if load.status is not None and load.is_fresh(now):
             return load.status.version
@@ -245,9 +274,9 @@
     ) -> VersionTerms:
         """Return the weights on which a request may run at a target.
 
-        An engine whose last known weights are too old may have received newer weights.
-        The request then names the newest version, and the engine refuses the request if
-        it lacks that version.
+        If the request cannot start in time on the last known weights of an engine, the
+        engine may have received newer weights since. The request then names the newest
+        version, and the engine refuses the request if it lacks that version.
         """
         held = self._held_version(model, target, now)
         # An engine of which nothing is known may have the oldest weights.
@@ -267,6 +296,6 @@
         return VersionTerms(held, self.view.wanted_version(model), None)
 
     def forget_unlisted(self) -> None:
-        """Drop the state of targets that are not listed."""
+        """Drop the rate limits and the health of targets that are not listed."""
         self.limit_watch.forget_unlisted(self.view.targets.targets)
         self.states.retain(self.view.targets.targets, boottime())
