--- a/src/ridgecourse/core/load_shedding.py
+++ b/src/ridgecourse/core/load_shedding.py
@@ -1,19 +1,21 @@
 """Load shedding: decide which requests are admitted while engines are overloaded.
 
 For some seconds the arrival rate may exceed the capacity of the available engines, and
-refused clients retry on top of it. A late answer costs an engine as much as an answer
-in time but is worth only a fraction of it. The rules are:
-
-- A request whose first event would be late is refused at once, before it delays other
-  requests.
-- A request that cannot be answered in time, because its client was refused before, is
-  admitted only where it delays no other request: where nothing waits and the batch has
-  free slots.
+refused clients add to it by their retries. An answer is late if its first event comes
+after the latency objective. A late answer costs an engine as much as an answer in time
+but is worth only a fraction of an answer in time. The rules, in the order in which they
+are checked, are:
+
 - A request whose client would give up before the first event is refused at once, even
   if there are free slots.
-- Any other request is admitted if there are free slots, however late recent first
-  events were. With engines filled to 1/3, most refusals were of clients that could not
-  be answered in time, or only seemed so.
+- Any other request is admitted where it delays no other request: where almost nothing
+  waits and the batch has free slots. How late recent first events were does not matter.
+  Without this rule, at an engine occupancy of 1/3, most refused requests were of
+  clients that could not be answered in time, or that only seemed so.
+- Where there are no free slots, a request that cannot be answered in time, because its
+  client was refused before, is refused.
+- There, a request whose first event would be late is refused, too, before it delays
+  other requests. All others are admitted.
 
 In ``python -m bench placement`` with 6 engines and 5 seeds, the share of clients that
 are answered in time at 55, 65 and 75 requests per second is 0.83, 0.56 and 0.42 if only
@@ -27,14 +29,14 @@
 from ridgecourse.core.placement import FIRST_EVENT_SECONDS
 
 TOLERATED_WAIT_SECONDS = 0.05
-"""A request that can be answered in time is never refused for a wait up to this long,
-however long its prompt is."""
+"""Wait up to which a request is not refused for being late, however long its prompt
+is, as long as its client has waited for less than the objective."""
 SPARE_WAIT_SECONDS = 0.02
-"""Longest wait at an engine with spare capacity; a wait this short is negligible."""
+"""Longest wait at which an engine has spare capacity; so short a wait is negligible."""
 SPARE_OCCUPANCY = 0.8
-"""Occupancy of the slots below which an engine has spare capacity. From 0.6 to 0.8
-the benchmark's score is the same; without the limit the score is lower by 0.01 at 65
-requests per second."""
+"""Occupancy of the slots below which an engine has spare capacity. In the benchmark
+above, the score is the same for each limit from 0.6 to 0.8; without a limit the score
+is lower by 0.01 at 65 requests per second."""
 
 
 class AdmissionEstimate(Struct, frozen=True):
@@ -72,7 +74,10 @@
 
     @property
     def is_late(self) -> bool:
-        """Whether the answer would be late even if the request started at once."""
+        """Whether the client has already waited for the objective or longer.
+
+        The answer would then be late even if the request started at once.
+        """
         return self.waited >= self.objective
 
 
@@ -91,6 +96,12 @@
 
     Args:
         prospect: Estimated timing of the request.
+
+    Returns:
+        None if the request is admitted. For a refused request, the seconds by which the
+        first event would come after the client gave up; or, if the client has already
+        waited for the objective or longer, the whole wait, which may be 0; or else the
+        seconds by which the wait exceeds the longest wait for an answer in time.
     """
     if prospect.earliest_first_event > prospect.remaining:
         return prospect.earliest_first_event - prospect.remaining
--- a/src/ridgecourse/core/planner.py
+++ b/src/ridgecourse/core/planner.py
@@ -4,6 +4,12 @@
 chunks arrived and which fetches failed, and it returns fetches. Sources are other
 agents of the same failure domain; agents of other domains, for the few agents that
 import chunks; and the origin, for the still fewer agents that fetch from it.
+
+To import a chunk is to fetch it from an agent of another domain. An agent follows its
+neighbours: it receives their announcements of the chunks that they hold. The chunks are
+divided into classes. For each class, an origin slot determines which agents fetch from
+the origin, and an import slot which agents import; see ``fetch_slots``. The origin may
+send several copies of a version; the domains that share one copy form a group.
 """
 
 from collections.abc import Iterable, Iterator, Sequence
@@ -29,7 +35,9 @@
 from ridgecourse.core.rendezvous import rendezvous_score
 
 MAX_SOURCE_FAILURES = 2
-"""Number of consecutive failures after which a source counts as lost."""
+"""Number of consecutive failures from which on a source counts as lost. If no other
+followed agent holds one of its chunks and the class of this chunk has stalled, the
+chunk may be fetched over the scarce link again."""
 
 
 class ChunkPlanner:
@@ -38,14 +46,24 @@
     Attributes:
         local: The local agent.
         root: Root digest of the version.
+        policy: Limits of the planner.
+        random: Random number generator for ties and back-offs, which differ between
+            agents.
+        chunks: All chunks of the version, without duplicates.
+        held: Chunks that the agent holds.
         missing: Chunks that the agent does not hold yet.
         in_flight: Sources of the fetches in progress, by chunk.
         role: The agent's role among those that exchange the version.
-        seen: Chunks that some agent of the fleet is known to hold.
-        seen_in_group: Chunks that are known to be held in the domains that share a copy
-            from the origin.
-        seen_in_domain: Chunks that are known to be held in the local domain.
+        seen: Chunks that some agent of the fleet is known to hold or to have held.
+        seen_in_group: The same, for the agents of the local domain's group.
+        seen_in_domain: The same, for the agents of the local domain.
+        rarity: Number of followed agents that hold a chunk, by chunk; the lower the
+            number, the rarer the chunk.
+        members: The domain of each member, the local agent included.
         sources: State of each followed agent, by name.
+        origin_state: State of the origin as a source.
+        origin_slots: The origin slot of each class.
+        import_slots: The import slot of each class, for the local domain.
     """
 
     def __init__(
@@ -119,12 +137,15 @@
         """Record that a chunk is held in a domain; None for an unknown domain."""
         class_index = chunk_class(digest, self.policy.classes)
         self.seen.add(digest)
+        # With a single copy all domains form one group, so that an unknown domain
+        # belongs to it, too.
         in_group = domain in self.role.group or self.role.origin_copies == 1
         if in_group and digest not in self.seen_in_group:
             self.seen_in_group.add(digest)
             self.origin_slots[class_index].record_progress(now)
             self.origin_slots[class_index].has_taken_over = False
-            # The import slot can stall only once the group holds a chunk to import.
+            # The stall time of the import slot starts anew, because time in which the
+            # group held no chunk to import does not count as a stall.
             slot = self.import_slots[class_index]
             slot.last_progress = max(slot.last_progress, now)
         if domain == self.local.domain and digest not in self.seen_in_domain:
@@ -132,7 +153,10 @@
             self.import_slots[class_index].record_progress(now)
 
     def drop_peer(self, peer: TargetName) -> None:
-        """Drop the holdings of an agent that cannot be followed any more."""
+        """Drop the holdings of an agent that cannot be followed any more.
+
+        The chunks still count as seen; ``_is_lost`` finds those that are lost.
+        """
         source = self.sources.get(peer)
         if source is None:
             return
@@ -146,7 +170,7 @@
         """Record a verified chunk.
 
         Returns:
-            Whether the chunk was still missing; if not, it was fetched twice.
+            Whether the chunk was still missing; False if it had been fetched before.
         """
         state = self._source_state(source)
         state.failures = 0
@@ -157,6 +181,7 @@
         self.held.add(digest)
         self._record_seen(digest, self.local.domain, now)
         if source == ORIGIN:
+            # ``_record_seen`` cleared this flag for a chunk that is new to the group.
             class_index = chunk_class(digest, self.policy.classes)
             self.origin_slots[class_index].has_taken_over = True
         return True
@@ -168,7 +193,14 @@
         failure: FetchFailure,
         now: Seconds,
     ) -> None:
-        """Record a fetch without a result, and back off from its source."""
+        """Record a fetch without a result, and delay further requests to its source.
+
+        An agent that does not have the chunk is not delayed: the chunk is removed from
+        its holdings. An agent that referred the fetch to other agents is not asked for
+        this chunk for a while. A busy source is not asked for a random time, and after
+        any other failure a source is not asked for a time that doubles with each
+        consecutive failure.
+        """
         state = self._source_state(source)
         self._end_fetch(digest, source)
         if failure is FetchFailure.STALLED and source == ORIGIN:
@@ -188,18 +220,19 @@
         state.not_before = Seconds(now + wait)
 
     def _record_origin_outage(self, now: Seconds) -> None:
-        """Restart the stall time of all origin slots after an outage of the origin.
+        """Restart the stall time of all origin slots after a stalled origin fetch.
 
-        During the outage no candidate could make progress, so only the first candidates
-        are to fetch from the origin afterwards. Otherwise every hub would take over in
-        turn, and each would fetch a copy once the origin is back. In one case six hubs
-        shared the origin's link, and the version was complete 3 s later than with a
-        single hub.
+        During an outage of the origin no candidate can make progress, so only the first
+        candidates are to fetch from the origin afterwards. Without the restart, one
+        more hub would become active after each stall time, and each would fetch a copy
+        once the origin is reachable again. With six hubs that shared the origin's link
+        in this way, the version was complete 3 s later than with a single hub.
         """
         for slot in self.origin_slots:
             slot.reset_stall_timer(now)
 
     def _remove_held(self, state: SourceState, digest: ChunkDigest) -> None:
+        """Record that a followed agent does not hold a chunk."""
         if digest in state.held:
             state.held.discard(digest)
             self.rarity[digest] -= 1
@@ -222,12 +255,13 @@
         return not self.missing
 
     def plan(self, now: Seconds, single_fetch: bool = False) -> Iterator[Fetch]:
-        """Yield the fetches to start now; each counts as in progress from then on.
+        """Yield the fetches to start now; each is in progress once it is yielded.
 
         Args:
             now: The current time.
-            single_fetch: Whether at most one fetch may be in progress before neighbours
-                are asked for another chunk.
+            single_fetch: Whether other agents are asked for a chunk only while no
+                fetch is in progress, instead of up to the policy's limit of fetches.
+                Fetches from the origin are not limited by this.
         """
         for fetch in self._origin_fetches(now):
             yield self._start_fetch(fetch)
@@ -252,8 +286,9 @@
     def _wanted_chunks(self) -> list[ChunkDigest]:
         """Return the chunks to request, the rarest first and ties in random order.
 
-        If all missing chunks are in flight, one of them is requested again from a
-        second source, so that a single slow source cannot delay completion.
+        Chunks that no followed agent has announced are left out. If all missing chunks
+        are in flight, one of them is requested again from a second source, so that a
+        single slow source cannot delay completion.
         """
         unrequested = [
             chunk
@@ -273,6 +308,7 @@
         return []
 
     def _choose_source(self, digest: ChunkDigest, now: Seconds) -> TargetName | None:
+        """Return the usable agent with the fewest fetches in progress, if any."""
         usable = [
             (state.active_fetches, self.random.random(), target)
             for target, state in self.sources.items()
@@ -281,16 +317,20 @@
             and state.active_fetches < self.policy.per_source
             and state.not_before <= now
             and state.referred_until.get(digest, now) <= now
-            and self._may_ask(target, digest, now)
+            and self._may_request(target, digest, now)
         ]
         return min(usable)[2] if usable else None
 
-    def _may_ask(self, target: TargetName, digest: ChunkDigest, now: Seconds) -> bool:
+    def _may_request(
+        self, target: TargetName, digest: ChunkDigest, now: Seconds
+    ) -> bool:
         """Check whether a chunk may be requested from an agent.
 
         Across a domain border only the active candidates of the chunk's import slot
-        request chunks, and only those that no agent of the local domain is known to
-        hold.
+        request a chunk, and only if no agent of the local domain has been seen to hold
+        the chunk, or if the chunk counts as lost in the domain. From a domain outside
+        the group a chunk is requested only if its origin slot has stalled, because the
+        group's own copy from the origin is expected otherwise.
         """
         domain = self.members.get(target)
         if domain == self.local.domain:
@@ -309,6 +349,7 @@
         )
 
     def _origin_fetches(self, now: Seconds) -> Iterator[Fetch]:
+        """Yield fetches from the origin, at most one in progress for each class."""
         if self.origin_state.not_before > now:
             return
         for class_index, slot in enumerate(self.origin_slots):
@@ -317,7 +358,7 @@
             active_candidates = slot.active_candidates(now)
             if self.local.target not in active_candidates and not slot.has_taken_over:
                 continue
-            if self._fetches_from_origin(class_index):
+            if self._is_fetching_from_origin(class_index):
                 continue
             digest = self._next_origin_chunk(
                 class_index, stalled=len(active_candidates) > 1
@@ -325,7 +366,7 @@
             if digest is not None:
                 yield Fetch(digest, ORIGIN)
 
-    def _fetches_from_origin(self, class_index: int) -> bool:
+    def _is_fetching_from_origin(self, class_index: int) -> bool:
         return any(
             ORIGIN in sources
             and chunk_class(digest, self.policy.classes) == class_index
@@ -333,11 +374,13 @@
         )
 
     def _next_origin_chunk(self, class_index: int, stalled: bool) -> ChunkDigest | None:
-        """Return the next chunk of a class that no agent is known to hold.
+        """Return the next chunk of a class to fetch from the origin, or None.
 
-        All agents use the same order, so a successor continues where its predecessor
-        stopped. If the class has stalled, chunks that some agent held but no followed
-        agent holds at present are included: their holder may be lost.
+        This is a chunk that no agent of the group has been seen to hold. All agents use
+        the same order, so when a candidate takes over it continues where the previous
+        one stopped. If the class has stalled, chunks that an agent was seen to hold but
+        that no followed agent holds at present are included, because the agent that
+        held them may be lost.
         """
         wanted = [
             digest
@@ -356,13 +399,17 @@
         )
 
     def _is_lost(self, digest: ChunkDigest, stalled: bool, domain_only: bool) -> bool:
-        """Check whether a chunk that some agent held is unavailable from every source.
+        """Check whether a chunk that some agent held counts as lost.
+
+        This is the case if no followed agent is known to hold the chunk, apart from
+        agents that failed ``MAX_SOURCE_FAILURES`` times in succession.
 
         Args:
             digest: The chunk.
             stalled: Whether the chunk's class makes no progress; otherwise no chunk
                 counts as lost.
-            domain_only: Whether only agents of the local domain are considered.
+            domain_only: Whether only followed agents of the local domain are
+                considered.
         """
         return stalled and not any(
             digest in state.held
@@ -372,5 +419,8 @@
         )
 
     def replan_delay(self) -> float:
-        """Return the seconds after which to plan again if no event occurs."""
+        """Return the seconds after which to plan again if no event occurs.
+
+        This is the mean time after which a busy source may be asked again.
+        """
         return self.policy.busy_seconds
--- a/src/ridgecourse/gateway/crash_gossip.py
+++ b/src/ridgecourse/gateway/crash_gossip.py
@@ -1,11 +1,16 @@
 """Gossip between gateways about requests that may crash engines.
 
-A crash report with a single strike goes only to the key owners, the few gateways that
-collect the strikes of that request. From the second strike on, a report goes to all
-known gateways at once. Recent reports are sent again to a random sample, since
-datagrams get lost. Persistent reports are sent to one gateway after another, so that a
+A strike of a request is the end of an engine while it ran the request, unless another
+explanation is known. A crash report with a single strike is sent only to the key
+owners, the few gateways that collect the strikes of that request. From the second
+strike on, a report is sent to all known gateways at once.
+
+Since datagrams get lost, recent reports are sent again: those for all gateways to a
+random sample of them, the others to the key owners. Persistent reports, those with at
+least two strikes, are also sent at any age, each time to one random gateway, so that a
 failure domain that was partitioned receives them. The traffic is proportional to the
-number of engine crashes, and there is none without crashes.
+number of engine crashes; without crashes there is none but the queries of starting
+gateways and the answers to them.
 """
 
 from abc import ABC, abstractmethod
@@ -26,24 +31,29 @@
 from ridgecourse.wire.control import CrashQuery, CrashReports
 
 RESEND_INTERVAL_SECONDS = 0.25
+"""Mean interval between two transmissions of the recent reports."""
 RESEND_WINDOW_SECONDS = 2.0
-"""How long a recent report is sent again. Each gateway that has the report forwards it
-to ``FANOUT`` others every ``RESEND_INTERVAL_SECONDS``, which reaches hundreds of
-gateways in half of this time."""
+"""How long after its last change a report is recent and is sent again. Each gateway
+that has a report for all gateways forwards it to ``FANOUT`` others every
+``RESEND_INTERVAL_SECONDS``, which reaches hundreds of gateways in half of this time."""
 FANOUT = 3
+"""Number of random gateways that receive a resent report or a query."""
 PERSISTENT_INTERVAL_SECONDS = 1.0
-"""Interval between two transmissions of the persistent reports, each to one gateway."""
+"""Shortest interval between two transmissions of the persistent reports, each to one
+gateway."""
 QUERY_INTERVAL_SECONDS = 0.15
+"""Interval between two queries of a starting gateway while its readiness waits."""
 STORE_FALLBACK_SECONDS = 0.3
-"""How long a starting gateway queries other gateways before it reads the store; they
-answer within some milliseconds."""
+"""How long a starting gateway queries other gateways before it reads the store. Other
+gateways answer within some milliseconds."""
 MAX_SYNC_SECONDS = 1.0
-"""Longest time that readiness waits for the state; the gateway then serves requests
-without it."""
+"""Longest time that a starting gateway waits for the current crash reports before it is
+ready; the gateway then serves requests without them."""
 STORE_READ_INTERVAL_SECONDS = 1.0
-"""Interval between two attempts to read the store."""
+"""Shortest interval between two attempts to read the store, and the interval between
+two queries once the gateway is ready without the current crash reports."""
 HEADER_BYTES = 100
-"""Size of a message without its reports."""
+"""Bytes reserved in a datagram for the message without its reports."""
 
 
 class RecentReports(NamedTuple):
@@ -51,8 +61,8 @@
 
     Attributes:
         for_all: Reports for all gateways.
-        for_owners: Other reports of crashes that this gateway observed, for the key
-            owners.
+        for_owners: Reports for the key owners only: all other reports on crashes that
+            this gateway observed itself.
     """
 
     for_all: Sequence[CrashReport]
@@ -60,7 +70,7 @@
 
 
 class CrashReportState(ABC):
-    """Crash reports known here, updated from other gateways and the store."""
+    """The crash reports known to this gateway, updated from others and the store."""
 
     @abstractmethod
     def recent_reports(self, window: float) -> RecentReports:
@@ -68,7 +78,10 @@
 
     @abstractmethod
     def persistent_reports(self) -> Sequence[CrashReport]:
-        """Return all reports that other gateways need."""
+        """Return the reports with at least two strikes, whatever their age.
+
+        Every gateway needs these reports.
+        """
 
     @abstractmethod
     def load_stored(self) -> bool:
@@ -85,10 +98,13 @@
     Attributes:
         state: Provides the reports to send and applies those received.
         link: Datagram link to other gateways.
-        is_synced: Whether the current state was received from a gateway or the store.
-        ready: Whether readiness need not wait for the state any longer.
-        persistent_sent_at: When persistent reports were last sent.
-        threads: Threads that resend reports and fetch the initial state.
+        is_synced: Whether the current reports were received from another gateway or
+            the store, or the whole system starts for the first time and has no reports.
+        ready: Whether this gateway may become ready: it is synced, or has waited for
+            ``MAX_SYNC_SECONDS``.
+        persistent_sent_at: When persistent reports were last sent, or were due but
+            there were none.
+        threads: Threads that resend reports and fetch the current reports at the start.
     """
 
     def __init__(
@@ -103,7 +119,7 @@
         link.handlers[CrashQuery] = self._answer_query
 
     def start(self) -> None:
-        """Start to send reports and to fetch the current state."""
+        """Start to resend reports and to fetch the current reports."""
         for loop in (self._resend_reports, self._sync):
             self.threads.append(spawn_loop(loop))
 
@@ -117,7 +133,7 @@
         self._send(reports, self.link.all_addresses())
 
     def send_to_owners(self, reports: Iterable[CrashReport]) -> None:
-        """Send each report to the gateways that collect the reports of its request."""
+        """Send each report to the key owners of its request."""
         for report in reports:
             self._send([report], self.link.owners(report.signature.hex()))
 
@@ -133,7 +149,7 @@
             self.is_synced = self.ready = True
 
     def _answer_query(self, query: CrashQuery) -> None:
-        """Send the persistent reports to a starting gateway, if synced here."""
+        """Send the persistent reports to a starting gateway if this one is synced."""
         if not self.is_synced:
             return
         try:
@@ -143,8 +159,8 @@
             return
         reports = self.state.persistent_reports()
         self._send(reports, [address])
-        # The final message follows all reports; a link that preserves order delivers it
-        # last.
+        # The final message informs the starting gateway that all reports were sent. It
+        # arrives after them if the link preserves the order of datagrams.
         self.link.send(CrashReports(self.link.site.process, [], reply=True), [address])
 
     def _resend_reports(self) -> None:
@@ -160,7 +176,11 @@
                     self._send(persistent, self.link.sample_addresses(1))
 
     def _sync(self) -> None:
-        """Query other gateways, then the store if none answers."""
+        """Fetch the current reports from other gateways, or else from the store.
+
+        The queries continue until an answer arrives or the store could be read. The
+        gateway becomes ready before that if neither happens in ``MAX_SYNC_SECONDS``.
+        """
         started_at = boottime()
         store_read_at = 0.0
         query = CrashQuery(str(self.link.address))
@@ -183,7 +203,10 @@
 
 
 def split_into_datagrams(reports: Iterable[CrashReport]) -> Iterator[list[CrashReport]]:
-    """Yield the reports in batches that each fit into a datagram."""
+    """Yield the reports in batches that each fit into a datagram.
+
+    A report that is too large for a datagram is a batch of its own.
+    """
     batch: list[CrashReport] = []
     size = HEADER_BYTES
     for report in reports:
