--- a/src/ridgecourse/cluster/domain_source.py
+++ b/src/ridgecourse/cluster/domain_source.py
@@ -1,7 +1,9 @@
 """Reads the store's records from a process of the failure domain or from the store.
 
-Few processes of a domain read the store; the others read from those. Thus a record
-crosses the link to the store only a few times for each domain.
+Few processes of a domain read the store; the others read from these processes. Thus a
+record crosses the link between the domain and the store only a few times. A process
+that starts does not know the other processes yet, so it first asks a seed: one of the
+processes whose addresses are configured.
 """
 
 from collections.abc import Callable
@@ -41,20 +43,23 @@
 )
 
 CONNECT_TIMEOUT_SECONDS = 0.3
+"""Timeout for connecting to another process."""
 SEED_TIMEOUT_SECONDS = 1.0
+"""How long a starting process asks other processes before it reads the store. When all
+processes start within 0.3 s, each seed reads the store for many of them and has the
+records 0.3 s later. When many processes restart together with their seed, loaders
+supply the records, but a process first needs the list of targets and a connection to a
+loader. If no process answers, the start takes longer by this timeout."""
 SEED_RETRY_SECONDS = 0.1
-"""Timeout and retry interval for asking other processes at a start, before the store is
-read. When all processes start at once, within 0.3 s, each seed reads the store for many
-of them and has the records 0.3 s later. When many processes restart together with their
-seed, loaders supply the records; a process needs the list of targets and a connection
-to a loader first. If no process answers, the start takes this timeout longer."""
+"""Pause between two such requests to other processes."""
 MAX_DISCOVERY_SECONDS = 5.0
-"""Longest time from the start of a process until it knows gateways. The list of targets
-and a connection to a loader take about 0.5 s, and 2 s or more while all processes
-start at once."""
+"""Time after the start of a process by which it is expected to know gateways. To get
+the list of targets and a connection to a loader takes about 0.5 s, and 2 s or more
+while all processes start at once."""
 SEED_RECEIVING_TIMEOUT_SECONDS = 5.0
-"""Timeout for asking a seed that is still receiving an answer from the store. Otherwise
-all starting processes would request the same 590 KB over the same link."""
+"""Longest time for which a starting process waits for a process that is still receiving
+an answer from the store. Otherwise all starting processes would request the same
+records, 590 KB, over the same link."""
 
 
 class DomainSource(RecordSource):
@@ -63,10 +68,12 @@
     Attributes:
         store: The store.
         domain: The failure domain of this process.
-        seed: HOST:PORT of the process to ask at the start; None for none.
+        seed: HOST:PORT of the seed to ask at the start; None if this process is a seed
+            itself or no seed is configured.
         neighbours: The other processes that may be asked.
-        readers: Readers that ask the parent, for each topic that processes pass on.
-        started_topics: Topics that have been read once.
+        readers: Readers that ask the parent, by topic. Topics without a reader are
+            always read from the store.
+        started_topics: Topics whose newest records have been requested at least once.
         first_sources: HOST:PORT of the process that supplied the first records, by
             topic.
         discovery_deadline: Time until which the first sources are asked for further
@@ -101,8 +108,8 @@
         is_first_read = topic not in self.started_topics
         self.started_topics.add(topic)
         if topic is Topic.TARGETS and not is_first_read:
-            # The list of a process that lags behind lacks targets that were added in
-            # the meantime, and they would be removed here.
+            # The list of a parent that lags behind lacks the targets that were added
+            # last. This process would then remove these targets from its own list.
             return self._try_store(topic, lambda: self.store.newest(topic))
         batch = self._read_from_parent(topic, Offset(0))
         if batch is None and is_first_read:
@@ -125,9 +132,10 @@
         return batch
 
     def _record_answer(self, topic: Topic, batch: RecordBatch) -> None:
-        """Record the age and sizes of an answer.
+        """Record the age of an answer and the sizes of its records.
 
-        They decide what is read from the store after an outage.
+        They determine whether all records or only the newest ones are read from the
+        store after an outage.
         """
         if topic in self.readers:
             sizes = [len(record.value) for record in batch.records]
@@ -139,7 +147,8 @@
         """Read the next records from the store, or only the newest ones.
 
         After an outage that began in a series of large changes, only the newest
-        decision of each key is read.
+        decision of each key is read: the earlier ones would cross the link only to be
+        replaced.
         """
         reader = self.readers.get(topic)
         if (
@@ -152,19 +161,24 @@
         return replace(batch, skipped_from=start) if batch.end > start else batch
 
     def _try_store(self, topic: Topic, read: Callable[[], RecordBatch]) -> RecordBatch:
-        """Read the store unless this process leaves that to others.
+        """Read the store, unless retries are left to other processes at the moment.
+
+        Args:
+            topic: The topic to read.
+            read: Reads the topic from the store.
 
         Raises:
-            RecordsGone: The store does not keep the records any more.
-            SourceUnavailable: Other processes are to read the store, or the store gave
-                no usable answer.
+            RecordsGone: The store has dropped the requested records.
+            SourceUnavailable: Retries are left to other processes, or the store gave no
+                usable answer.
         """
         reader = self.readers.get(topic)
         if reader is None:
             return read()
         if reader.outage_retries.defers_to_others(len(reader.lost_parents), boottime()):
             raise SourceUnavailable(
-                "store read left to other processes while the domain is cut off"
+                "store not read: the domain seems to be cut off from the store, and "
+                "other processes of the domain retry"
             )
         started_at = boottime()
         try:
@@ -186,7 +200,14 @@
         return batch
 
     def _emit_store_read(self, topic: Topic, started_at: float, **detail: Any) -> None:
-        """Emit an event for a read of the store that failed or was slow."""
+        """Emit an event for a read of the store that failed or was slow.
+
+        Args:
+            topic: The topic that was read.
+            started_at: When the read started, its wait for new records included.
+            detail: Further fields of the event. For a slow read, ``took`` is the
+                transfer time from the first byte of the answer on.
+        """
         seconds = round(boottime() - started_at, 2)
         self.events.emit(
             EventKind.STORE_READ, topic=topic.value, seconds=seconds, **detail
@@ -203,21 +224,21 @@
         self.store.append(topic, key, value, end)
 
     def _read_from_parent(self, topic: Topic, start: Offset) -> RecordBatch | None:
-        """Return a parent's records, or None if the store is to be read."""
+        """Return the parent's records, or None if the store is to be read."""
         reader = self.readers.get(topic)
         return reader.read(start) if reader is not None else None
 
     def _read_from_first_source(
         self, topic: Topic, start: Offset
     ) -> RecordBatch | None:
-        """Return records of the process that supplied the first records.
+        """Return records from the process that supplied the first records.
 
-        This process is asked for further records as long as no gateway is known. When a
-        third of the gateways were restarted at once, each of them read the next large
-        configuration from the store.
+        As long as no gateway is known, that process is asked for further records too.
+        Without this rule, when a third of the gateways were restarted at once, each of
+        them read the next large configuration from the store.
 
         Returns:
-            The records, or None if the store is to be read.
+            The records; None if the store is to be read.
         """
         if topic not in self.first_sources:
             return None
@@ -229,8 +250,8 @@
             if boottime() > deadline:
                 break
             with suppress(SourceUnavailable):
-                # The process may have stopped or may be starting itself; then another
-                # process is asked.
+                # The asked process may have stopped, or may be starting as well. Then
+                # another process is asked.
                 address = self.first_sources[topic]
                 response = fetch_records(
                     self.http,
@@ -248,10 +269,14 @@
         return None
 
     def _read_from_seeds(self, topic: Topic) -> RecordBatch | None:
-        """Return the records of a seed or of another process; None if none has any.
+        """Return the newest records of the seed or of another process.
+
+        The seed may be starting as well. Processes that this process discovers in the
+        meantime, loaders of its domain first, may have the records already.
 
-        The seeds may be starting as well. Processes that this one discovers in the
-        meantime, loaders of its domain first, may be running already.
+        Returns:
+            The records; None if no process supplied current records in time, or if this
+            process has no seed to ask.
         """
         if self.seed is None or topic not in self.readers:
             return None
@@ -262,7 +287,7 @@
                 return None
             address = self._choose_address(attempt)
             with suppress(SourceUnavailable):
-                # The process may be starting as well.
+                # The asked process may be starting as well; it is asked again later.
                 response = fetch_records(
                     self.http, address, topic, Offset(0), ANSWER_TIMEOUT_SECONDS
                 )
@@ -280,7 +305,12 @@
         return None
 
     def _choose_address(self, attempt: int) -> str:
-        """Return HOST:PORT to ask next: the seed and the other peers in turn."""
+        """Return HOST:PORT to ask: the seed at every second attempt, else a peer.
+
+        Args:
+            attempt: Number of earlier attempts. The other peers are asked one after
+                the other.
+        """
         assert self.seed is not None
         others = [peer for peer in self.neighbours.record_peers() if peer != self.seed]
         if attempt % 2 == 0 or not others:
@@ -310,12 +340,13 @@
     """Return the view of a process that reads through its domain's read tree.
 
     Args:
-        site: Identity, addresses and bounds of the process.
+        site: Settings of the process: its identity, addresses and time limits.
         store: Access to the platform's store.
         neighbours: The other processes that may be asked.
         events: The event stream.
-        pace: How often the process reads.
+        pace: Waits and pauses of the reads.
     """
+    # Every process serves chunks and records on the port after the first peer port.
     seeds = make_seed_addresses(site.seeds, site.peer_ports[0] + 1)
     pinned_decisions = PinnedDecisionSource(store.source, store.decoder, events)
     seed = choose_seed(site.host, seeds)
--- a/src/ridgecourse/cluster/tree_reader.py
+++ b/src/ridgecourse/cluster/tree_reader.py
@@ -1,4 +1,9 @@
-"""Reads one topic's records from another process of the failure domain."""
+"""Reads one topic's records from another process of the failure domain.
+
+The processes of a domain form a tree, in which each process reads from its parent. If
+the parent does not answer or its records are stale, another process is asked, or the
+store is read.
+"""
 
 from abc import ABC, abstractmethod
 from collections.abc import Collection, Sequence
@@ -18,24 +23,27 @@
 from ridgecourse.net.record_source import RecordBatch, SourceUnavailable, Topic
 
 LONG_POLL_SECONDS = 0.8
-"""Longest time for which a parent holds a request back until it has a new record. It is
-shorter than the age at which an answer is stale."""
+"""Longest time for which a parent waits for a new record before it answers. This time
+is shorter than the age at which an answer is stale."""
 ANSWER_TIMEOUT_SECONDS = 0.3
-"""Timeout for the answer in addition to that wait. A frozen parent is detected after
-both times together. Then the next process is asked, which by then reads the store
-itself if the frozen parent was the first of the read tree."""
+"""Timeout for an answer, in addition to the parent's wait for a new record. A frozen
+parent is detected after both times together. Then the next process is asked. If the
+frozen parent was the root of the read tree, the next process reads the store itself by
+then."""
 READ_TIMEOUT_SECONDS = 1.3
-"""Time after which no other process is asked and the store is read. With two frozen
-processes the store is read after 1.4 s, of the 2 s allowed."""
+"""Time from the start of a read after which no other process is asked and the store is
+read. With two frozen processes the store is read after 1.4 s; a decision has to be in
+force within 2 s."""
 UNRESPONSIVE_AVOID_SECONDS = 5.0
 """How long a process that did not answer is avoided. By then most freezes and
 network failures of a machine are over."""
 STALE_AVOID_SECONDS = 0.5
-"""How long a process with stale records is avoided. The parent of that process may not
-have answered, and by then the process reads the store itself. If it were avoided for
-longer, all processes would read the store."""
+"""How long a process with stale records is avoided. Its own parent may not have
+answered; after this time the process reads the store itself. If such processes were
+avoided for longer, all processes would read the store."""
 STALE_RETRY_SECONDS = 0.2
-"""Delay between two requests to a parent that has stale records and answers at once."""
+"""Delay between two requests to a parent with stale records. Such a parent answers
+without waiting for a new record."""
 
 
 class Neighbours(ABC):
@@ -50,7 +58,9 @@
         """Return the process to read from, or None for the store.
 
         Args:
-            avoided: Processes that are avoided at the moment.
+            avoided: Processes that are avoided at the moment. One of them may be
+                returned nevertheless, if there is no other parent and this process is
+                not to read the store.
         """
 
     @abstractmethod
@@ -66,8 +76,10 @@
         neighbours: The other processes that may be asked.
         avoided: Processes that are avoided, and until when.
         stale_parents: Avoided processes that had stale records although they can read
-            the store, and whether they were receiving an answer from the store.
-        lost_parents: Avoided processes that cannot read the store.
+            the store. The value is whether the process was receiving an answer from
+            the store.
+        lost_parents: Avoided processes that cannot read the store or have read nothing
+            yet.
         outage_retries: Decides when to try the store while it cannot be read.
         parent_receiving: Whether the parent is receiving an answer from the store.
         parent: The process that was read from last; None for the store.
@@ -95,16 +107,17 @@
         """Return the records of a parent, or None if the store is to be read.
 
         Raises:
-            SourceUnavailable: The parent does not answer, there is no other parent, and
-                reading the store is left to other processes.
+            SourceUnavailable: The parent gave no usable answer, there is no other
+                parent, and this process is not to read the store.
         """
         deadline = boottime() + READ_TIMEOUT_SECONDS
         wait = LONG_POLL_SECONDS
         while (parent := self._select_parent()) is not None:
+            # An avoided process is chosen only if there is no other parent.
             is_last = parent.name in self.avoided
             response = self._ask_parent(parent, start, wait)
-            # Further parents are asked without a wait: time has passed already, and the
-            # next parent may be frozen as well.
+            # Further parents are asked to answer at once: the first request may have
+            # taken most of the time, and the next parent may be frozen as well.
             wait = 0.0
             if response is None:
                 if is_last:
@@ -142,11 +155,12 @@
     def _is_usable(self, response: RecordsResponse) -> bool:
         """Check whether an answer can be used without asking another process."""
         if response.lost and not response.receiving and self.topic is Topic.TARGETS:
-            # A parent that cannot read the store ignores removals. Relying on its list,
-            # gateways sent requests to a target for 2.07 s after the target had left;
-            # 2 s are allowed.
+            # A parent that cannot read the store ignores removals of targets. Gateways
+            # that relied on the list of such a parent sent requests to a target for
+            # 2.07 s after the target had left; 2 s are allowed.
             return False
-        # Records that were delayed on the network are not read again from the store.
+        # New records are used whatever the age of the answer: if the network delayed
+        # them, they are not read again from the store.
         return bool(response.records) or response.age <= STALE_SECONDS
 
     def _try_bypass(self, parent: Peer, response: RecordsResponse) -> bool:
@@ -155,9 +169,10 @@
         Returns:
             Whether the parent is avoided.
         """
-        # A parent that cannot read the store, or has read nothing, never gets records
-        # earlier than this process. But the first answer that a parent receives after
-        # an outage has new records, and another reader would slow that answer down.
+        # A parent that cannot read the store, or has read nothing, does not get records
+        # earlier than this process. An exception is a parent that is receiving its
+        # first answer after an outage: this answer has new records, and if this process
+        # read the store as well, the answer would be delayed.
         is_lost = (response.lost or not response.end) and not response.receiving
         receiving = response.receiving or any(self.stale_parents.values())
         if not is_lost and not may_skip(
@@ -173,6 +188,10 @@
         return True
 
     def _select_parent(self) -> Peer | None:
+        """Return the process to ask next, or None for the store.
+
+        First, processes whose time of being avoided is over are forgotten.
+        """
         now = boottime()
         self.avoided = {name: end for name, end in self.avoided.items() if end > now}
         self.stale_parents = {
@@ -181,7 +200,8 @@
             if name in self.avoided
         }
         self.lost_parents &= self.avoided.keys()
-        # If the whole domain seems to be cut off, asking all its processes is useless.
+        # If several processes cannot read the store, and this process cannot either,
+        # the whole domain is probably cut off, and no other process has new records.
         is_cut_off = (
             self.outage_retries.is_failing
             and len(self.lost_parents) >= PERSISTENT_READERS
@@ -195,7 +215,13 @@
         return parent
 
     def _avoid(self, parent: Peer, seconds: float, reason: str) -> None:
-        """Avoid a parent for a number of seconds."""
+        """Avoid a parent from now on, and record this as an event and a metric.
+
+        Args:
+            parent: The process to avoid.
+            seconds: How long to avoid the process.
+            reason: Reason for the event log.
+        """
         self.avoided[parent.name] = Seconds(boottime() + seconds)
         self.events.metrics.count("parent_avoided")
         self.events.emit(
--- a/src/ridgecourse/core/weights.py
+++ b/src/ridgecourse/core/weights.py
@@ -1,6 +1,8 @@
-"""Record which versions of weights operators name, and when each becomes required.
+"""History of the versions of weights that operators name for a model.
 
-Gateways and loaders use this history to decide on which weights a request may start.
+An operator names a version when the system is to serve that version. After a fixed
+time, the bound, the version is required: no request may start on an older version.
+Gateways and loaders use the history to decide on which version a request may start.
 """
 
 from collections.abc import Iterable, Iterator
@@ -10,15 +12,15 @@
 
 from ridgecourse.core.ids import ModelName, Seconds, WeightsVersion
 
-SAME_TIME_SECONDS = 0.05
-"""Two reported naming times of a version that differ by less than this count as equal:
-a report takes a few milliseconds to arrive."""
+NAMING_TIME_TOLERANCE_SECONDS = 0.05
+"""Two reported naming times of a version that differ by at most this much count as
+equal, because a report takes a few milliseconds to arrive."""
 FIRST_VERSION = WeightsVersion(1)
-"""The version in force before an operator names one."""
+"""The version that is served until an operator names one."""
 
 
 class NamedVersion(Struct, frozen=True):
-    """The version of a model that is to be served.
+    """A version that an operator named for a model.
 
     Attributes:
         model: The model.
@@ -30,11 +32,13 @@
 
 
 class NamingTimeSource(Enum):
-    """How the naming time of a version is known.
+    """How this process knows the naming time of a version.
 
-    UNKNOWN: The naming time is not known.
-    REPORTED: Another process reported it.
-    OBSERVED: A reply of the store shortly before did not contain the version yet.
+    Attributes:
+        UNKNOWN: This process does not know the naming time.
+        REPORTED: Another process reported the naming time.
+        OBSERVED: This process read the version and knows the last time at which the
+            store did not contain it yet; that is the earliest naming time.
     """
 
     UNKNOWN = "unknown"
@@ -47,9 +51,9 @@
 
     Attributes:
         version: The version.
-        named_at: Earliest time at which the version may have been named. If this is
-            unknown, a time so early that the bound had passed when this process learned
-            of the version.
+        named_at: Earliest time at which the version may have been named. If that time
+            is unknown, the time at which this process received the version minus the
+            bound, so that the version is required at once.
         time_source: How ``named_at`` is known.
     """
 
@@ -75,8 +79,8 @@
 class VersionHistory:
     """The named versions of one model, in ascending order.
 
-    Each named version has its own bound, after which no request may start on an older
-    version. A newer name does not postpone this bound.
+    Each named version becomes required at its own time, after which no request may
+    start on an older version. Naming a newer version does not postpone this time.
 
     Attributes:
         bound: Seconds from naming a version until it is required.
@@ -96,8 +100,8 @@
             version: The version.
             now: The current time.
             named_at: Earliest time at which the version may have been named; None if
-                unknown. In that case no request may start on older weights, since the
-                bound may have passed already.
+                that time is unknown. Then no request may start on an older version from
+                now on, since the bound may have passed already.
 
         Returns:
             Whether the version is newer than all recorded ones.
@@ -115,17 +119,18 @@
     def record_naming_time(self, version: WeightsVersion, named_at: Seconds) -> bool:
         """Record the earliest naming time of a version, as another process reports it.
 
-        The earliest of several reported times counts. A time that this process observed
-        itself is kept: it remains valid after a freeze or a network partition, and it
-        is more accurate than the report of a process that polls rarely. An unknown
-        version between known ones is added, because a process that starts reads only
-        the newest name, while the bounds of earlier versions still apply.
+        The earliest of several reported times is used. A time that this process
+        observed itself is never replaced: it remains valid after a freeze or a network
+        partition, and it is more accurate than the report of a process that polls
+        rarely. A version that is older than the newest one and not yet in the history
+        is added: a process that starts reads only the newest named version, but the
+        bounds of earlier versions still apply.
 
         Returns:
             Whether the history changed.
         """
         for notice in self.notices:
-            if notice.version == version and is_better_time(notice, named_at):
+            if notice.version == version and should_replace_time(notice, named_at):
                 notice.named_at, notice.time_source = (
                     named_at,
                     NamingTimeSource.REPORTED,
@@ -143,13 +148,18 @@
         return {FIRST_VERSION, *(notice.version for notice in self.notices)}
 
     def is_recent(self, now: Seconds) -> bool:
-        """Check whether the newest version is known to be younger than the bound."""
+        """Check whether the newest version is known not to be required yet."""
         if not self.notices or self.notices[-1].time_source is NamingTimeSource.UNKNOWN:
             return False
         return now - self.notices[-1].named_at < self.bound
 
     def was_named_before(self, version: WeightsVersion, time: Seconds) -> bool:
-        """Return whether a version was named before a time; True if that is unknown."""
+        """Check whether a version was named before a time.
+
+        Returns:
+            False if the version is known to be named later; else True, also if the
+            naming time is unknown.
+        """
         return not any(
             notice.version == version
             and notice.time_source is not NamingTimeSource.UNKNOWN
@@ -158,7 +168,7 @@
         )
 
     def count_newer(self, version: WeightsVersion) -> int:
-        """Return the number of newer versions that are known to be named."""
+        """Return the number of named versions that are newer than the given one."""
         return sum(notice.version > version for notice in self.notices)
 
     def ages(self, model: ModelName, now: Seconds) -> Iterator[VersionAge]:
@@ -169,7 +179,7 @@
 
     @property
     def newest(self) -> WeightsVersion:
-        """The version that is to be served."""
+        """The newest named version, which is to be served."""
         return self.notices[-1].version if self.notices else FIRST_VERSION
 
     def required_version(self, now: Seconds) -> WeightsVersion:
@@ -182,32 +192,46 @@
         return max(due, default=FIRST_VERSION)
 
     def start_deadline(self, version: WeightsVersion) -> Seconds | None:
-        """Return until when requests may start on a version; None for no limit."""
-        return self._earliest_bound(
+        """Return the time until which requests may start on a version.
+
+        Returns:
+            The earliest time at which a newer version is required; None if no newer
+            version is named.
+        """
+        return self._earliest_required_at(
             notice for notice in self.notices if notice.version > version
         )
 
     def known_start_deadline(self, version: WeightsVersion) -> Seconds | None:
-        """Return the start deadline from newer versions with a known naming time only.
+        """Return the start deadline of a version as far as it is known.
 
-        None if there is no such version.
+        Returns:
+            As ``start_deadline``, but only newer versions whose naming time is known
+            are taken into account; None if there is no such version.
         """
         timed_notices = (
             notice
             for notice in self.notices
             if notice.time_source is not NamingTimeSource.UNKNOWN
         )
-        return self._earliest_bound(
+        return self._earliest_required_at(
             notice for notice in timed_notices if notice.version > version
         )
 
-    def _earliest_bound(self, notices: Iterable[VersionNotice]) -> Seconds | None:
-        bounds = [notice.named_at + self.bound for notice in notices]
-        return Seconds(min(bounds)) if bounds else None
+    def _earliest_required_at(self, notices: Iterable[VersionNotice]) -> Seconds | None:
+        """Return the time from which on the first of some versions is required."""
+        required_times = [notice.named_at + self.bound for notice in notices]
+        return Seconds(min(required_times)) if required_times else None
 
 
-def is_better_time(notice: VersionNotice, reported_at: Seconds) -> bool:
-    """Return whether a reported naming time is to replace the recorded one."""
+def should_replace_time(notice: VersionNotice, reported_at: Seconds) -> bool:
+    """Check whether a reported naming time replaces the recorded one.
+
+    Args:
+        notice: The recorded version with its naming time.
+        reported_at: Naming time that another process reported, not the time of the
+            report.
+    """
     if notice.time_source is NamingTimeSource.REPORTED:
-        return reported_at < notice.named_at - SAME_TIME_SECONDS
+        return reported_at < notice.named_at - NAMING_TIME_TOLERANCE_SECONDS
     return notice.time_source is NamingTimeSource.UNKNOWN
--- a/src/ridgecourse/loader/transfer_watch.py
+++ b/src/ridgecourse/loader/transfer_watch.py
@@ -1,7 +1,9 @@
-"""Choice of the version to fetch, and cancellation of transfers.
+"""Choice of the version of weights to fetch, and cancellation of transfers.
 
 A transfer is cancelled when its hubs change, when the engine becomes available during a
-prefetch, or when another version takes precedence.
+prefetch, or when another version takes precedence. A hub is a gateway that fetches a
+version into the failure domain. A prefetch is a transfer while the engine is
+unavailable.
 """
 
 from abc import ABC, abstractmethod
@@ -37,11 +39,14 @@
 from ridgecourse.net.threads import spawn_loop
 
 POLL_SECONDS = 0.5
-"""Longest interval between checks of the transfer, in seconds."""
+"""Longest interval between two checks of the transfer. A change of the view triggers a
+check at once."""
 
 
 class TransferOwner(ABC):
-    """Interface of the rollout that ``TransferWatch`` uses.
+    """Interface of a loader's rollout that ``TransferWatch`` uses.
+
+    The rollout fetches versions and orders the engine to switch to them.
 
     Attributes:
         site: Current settings.
@@ -75,7 +80,7 @@
 
     @abstractmethod
     def transfer_seconds(self, holding: Holding) -> float:
-        """Return the remaining seconds of a transfer at the full speed of the link."""
+        """Return the seconds to fetch what a holding lacks, at full link speed."""
 
     @abstractmethod
     def starts_early(self, key: VersionKey) -> bool:
@@ -87,7 +92,7 @@
 
     @abstractmethod
     def is_needed(self, key: VersionKey) -> bool:
-        """Check whether a version is still needed, however complete it is."""
+        """Check whether a version is still retained, whatever part is available."""
 
 
 class TransferWatch:
@@ -114,7 +119,11 @@
             self.thread.kill()
 
     def _run(self) -> None:
-        """Cancel the transfer in progress when it should not continue."""
+        """Check the transfer in progress repeatedly.
+
+        If the transfer stalls, its version is requested from a hub again. If it should
+        not continue, it is cancelled, and the rollout then chooses what to fetch next.
+        """
         while True:
             self.rollout.view.changed.wait(POLL_SECONDS)
             transfer, configured = self.rollout.transfer, self.rollout.find_model()
@@ -132,10 +141,12 @@
         if self.rollout.hubs != choose_hubs(
             str(self._current_key(model)), self.rollout.gateways
         ):
-            # A hub appeared or disappeared: restart the transfer with the current hubs.
+            # A hub appeared or disappeared; the transfer restarts with the current
+            # hubs.
             return True
         if self.rollout.is_prefetching and self._poll_engine() is not None:
-            # Chunks staged at an engine that is available again need not be fetched.
+            # The engine is available again, and chunks that are already staged at the
+            # engine need not be fetched. A prefetch does not take them into account.
             return True
         if wanted > self.rollout.version:
             return self._is_superseded(transfer, model, wanted)
@@ -144,7 +155,10 @@
     def _is_superseded(
         self, transfer: Transfer, model: EngineModel, wanted: WeightsVersion
     ) -> bool:
-        """Check whether a transfer is cancelled in favour of a newer version."""
+        """Check whether a transfer is cancelled in favour of a newer version.
+
+        If so, its version is recorded as abandoned, and an event is emitted.
+        """
         newest = model.model, wanted
         share = self._share_at_hub(newest)
         if share is None or self._should_finish(transfer, model, newest, share):
@@ -161,9 +175,10 @@
     def _yields_to_older(self, model: EngineModel, wanted: WeightsVersion) -> bool:
         """Check whether a transfer of the newest version yields to an older version.
 
-        The newest version may be unavailable for seconds, while an older version is
-        complete at the hub and may be served until then, or is complete in this loader
-        and the engine's turn to switch to it has come.
+        The newest version may be unavailable for seconds. Until then the engine can
+        serve an older version that is complete at the hub, or that is complete in this
+        loader if it is the engine's turn to switch to it. If the transfer yields, an
+        event is emitted.
         """
         report = self._poll_engine()
         if report is None or self.rollout.version != wanted:
@@ -179,11 +194,12 @@
     def choose(
         self, model: EngineModel, wanted: WeightsVersion, report: EngineReport
     ) -> VersionKey:
-        """Return the version to fetch: a partially fetched version may take precedence.
+        """Return the version to fetch: the newest, or a partially fetched older one.
 
-        A transfer also ends when a hub appears or disappears. If the loader then
-        changed to a newer version that no hub has, it would wait while it holds most of
-        the older version.
+        This is decided anew after each transfer, and a transfer also ends when a hub
+        appears or disappears. If the loader then always changed to the newest version,
+        and no hub had that version, the loader would wait although it holds most of an
+        older version.
 
         Args:
             model: The engine's model.
@@ -194,6 +210,7 @@
         served = report.layers.version if report.layers else WeightsVersion(0)
         ordered = self.rollout.ordered
         if report.busy and ordered and ordered.started == report.started:
+            # The engine is carrying out the order and has not restarted since.
             served = max(served, ordered.version)
         started_keys = sorted(
             key
@@ -214,7 +231,14 @@
         model: EngineModel,
         report: EngineReport,
     ) -> bool:
-        """Check whether a version already started takes precedence over the newest."""
+        """Check whether a partially fetched version precedes the newest one.
+
+        Args:
+            key: The partially fetched version.
+            newest: The newest version.
+            model: The engine's model.
+            report: Current report of the engine.
+        """
         holding = self.rollout.catalogue.holdings[key]
         if not holding.held or not self.rollout.is_needed(key):
             return False
@@ -228,11 +252,13 @@
         share = self._share_at_hub(newest)
         wait = self.rollout.turn_wait(key, report) if holding.complete else 0.0
         if allows_newer_fetch(wait) and share is not None:
-            # The version would stay unused until the engine's turn, and nothing would
-            # be fetched during that time.
+            # The version is complete, but would stay unused until the engine's turn to
+            # switch to it. Nothing would be fetched during that time, so the newest
+            # version is fetched.
             return False
         if not holding.complete and not self._hub_has_more(key, holding):
-            # No more chunks of the older version are available either.
+            # The hub has no further chunks of the older version. Thus the newest
+            # version is fetched, unless the hub does not have that one either.
             return share is None
         return takes_precedence(
             current,
@@ -247,14 +273,13 @@
         try:
             return self.rollout.engine.report()
         except EngineUnavailable:
-            # The engine is still unavailable; the rollout's phase shows the error.
+            # The error is not reported here: the rollout's phase shows it.
             return None
 
     def _request_from_hub(self, key: VersionKey) -> None:
-        """Request a version from the nearest hub again.
+        """Request a version's manifest from the nearest hub again.
 
-        A hub that does not participate in the version starts to fetch it only when it
-        is asked.
+        A hub that does not fetch the version yet starts to do so only when it is asked.
         """
         hubs = sorted(
             self.rollout.hubs, key=lambda hub: hub.domain != self.rollout.site.domain
@@ -271,15 +296,15 @@
         """Return the share of a version that the nearest hub holds.
 
         Returns:
-            A share from 0 to 1; None if the hub does not participate in the version.
-            Without any hub the share is 1, because loaders then fetch from the origin
-            and from each other.
+            A share from 0 to 1; None if the hub does not fetch the version or does not
+            answer. Without any hub the share is 1, because loaders then fetch from the
+            origin and from each other.
         """
         hub = self._nearest_hub(key)
         return 1.0 if hub is None else self.rollout.catalogue.ask_share(hub, key)
 
     def _is_skipped_at_hub(self, key: VersionKey) -> bool:
-        """Check whether the nearest hub has stopped fetching a version."""
+        """Check whether the nearest hub skipped a version in favour of a newer one."""
         hub = self._nearest_hub(key)
         return hub is not None and self.rollout.catalogue.ask_skipped(hub, key)
 
@@ -296,10 +321,17 @@
         newest: VersionKey,
         share: float,
     ) -> bool:
-        """Check whether a transfer finishes before the newest version is fetched."""
+        """Check whether a transfer is to finish before the newest version is fetched.
+
+        Args:
+            transfer: The transfer in progress.
+            model: The engine's model.
+            newest: The newest version.
+            share: Share of the newest version that the nearest hub holds.
+        """
         if transfer.stalled:
-            # The hub may have abandoned the version; then the transfer never
-            # completes, however little is missing.
+            # The hub may have stopped fetching the version. Then the transfer never
+            # completes, even if only a few chunks are missing.
             return False
         if self._is_skipped_at_hub(self._current_key(model)):
             return False
@@ -318,6 +350,9 @@
     ) -> tuple[TransferPlan, TransferPlan, Seconds, bool]:
         """Return the transfer plans of a partially fetched and of the newest version.
 
+        The bound of a plan is the time from which on its version, or a newer one, is
+        required. If no such version is named, the current time is used.
+
         Returns:
             The plan of the partially fetched version, the plan of the newest version,
             the current time, and whether the local engine starts early.
@@ -327,13 +362,13 @@
             model.chunks * model.chunk_bytes / self.rollout.site.upload_bytes_per_s
         )
         history = self.rollout.view.history(model.model)
-        older = WeightsVersion(key[1] - 1)
+        previous = WeightsVersion(key[1] - 1)
         newer = TransferPlan(
             full_seconds + STAGING_SECONDS, history.start_deadline(key[1]) or now
         )
         current = TransferPlan(
             self.rollout.transfer_seconds(holding) + STAGING_SECONDS,
-            history.start_deadline(older) or now,
+            history.start_deadline(previous) or now,
         )
         return current, newer, now, self.rollout.starts_early(key)
 
