--- a/src/ridgecourse/exchange/transfer.py
+++ b/src/ridgecourse/exchange/transfer.py
@@ -1,7 +1,9 @@
 """Fetching side of the exchange: fetches the chunks of one version.
 
-A transfer learns from neighbours which chunks they hold, lets the planner choose
-a source for each missing chunk, and verifies and stores the chunks that arrive.
+An agent is a process that holds or fetches chunks; a transfer's neighbours are the
+agents whose holdings the transfer follows. The transfer receives from them which chunks
+they hold, lets the planner choose a source for each missing chunk, a neighbour or the
+origin, and verifies and stores the chunks that arrive.
 """
 
 import logging
@@ -47,15 +49,17 @@
 REFOLLOW_SECONDS = 0.5
 """Pause before a lost control connection to a neighbour is opened again, in seconds."""
 MAX_CORRUPT_FROM_ORIGIN = 3
-"""Corrupt copies of a chunk in a row from the origin after which the transfer fails."""
+"""Number of corrupt copies of one chunk, all from the origin and without a valid copy
+in between, after which the transfer fails."""
 INITIAL_HOLDINGS_SECONDS = 1.0
 """Seconds from the start of a transfer until neighbours have announced their holdings:
-one connection and some round trips, as for a manifest."""
+enough to open one connection and for some round trips, as a manifest needs too."""
 PROGRESS_SECONDS = 1.0
 """Interval of progress events, in seconds."""
 LAST_RESORT_REFERRALS = 8
-"""Referrals to other agents after which a holder is asked to exceed its limit of
-uploads per chunk."""
+"""Number of referrals of one chunk after which the next source is asked to send the
+chunk beyond its limit of uploads per chunk. An agent that has reached this limit refers
+the fetch to the agents that it has sent the chunk to."""
 
 
 class TransferError(Exception):
@@ -66,23 +70,32 @@
     """Fetches the missing chunks of a version.
 
     Attributes:
+        context: Identity, clients and limits of the local agent.
         origin: Origin of the chunks; None to fetch from peers alone.
         peers: Agents that chunks may be fetched from, by name.
         planner: Chooses the chunks to fetch and their sources.
         holding: Chunks of the version that are held; grows with each chunk.
         is_needed: Returns whether the version is still needed; the transfer ends when
             it is not.
-        referrals: How often holders of each chunk referred the fetch to other agents.
+        progress: Notified when the next fetches are to be planned: a fetch ended, new
+            holdings were announced, or the transfer was cancelled.
+        referrals: How often agents that hold a chunk referred its fetch to other
+            agents, by chunk.
         corrupt_counts: Number of corrupt copies of each chunk from the origin.
         missing_at_origin: The origin's answer for each chunk that it does not have.
         cancelled: Whether the transfer was cancelled.
         error: Error that currently blocks the transfer; empty if none.
-        rate: Rate that peers are asked to send at; None for no limit.
-        unpaced_domain: Domain whose peers are asked for no limit in any case.
+        rate: Estimated rate of the incoming link, at which peers are asked to send;
+            None for no limit.
+        unpaced_domain: Domain whose peers send without a rate limit; None if no domain
+            is exempt.
         started_at: When the transfer was created.
         holdings_due_at: When neighbours have announced their holdings at the latest.
         last_progress: When the last chunk arrived, or the transfer was created.
-        counted_bytes: Bytes received from the origin that have been counted.
+        next_progress_report: When the next progress event is due.
+        counted_bytes: Part of the bytes received from the origin that the traffic
+            counts of the context include already.
+        threads: Threads of the fetches in progress and of the control connections.
     """
 
     def __init__(
@@ -98,6 +111,21 @@
         is_needed: Callable[[], bool] = lambda: True,
         unpaced_domain: DomainName | None = None,
     ) -> None:
+        """Prepare a transfer; ``run`` starts it.
+
+        Args:
+            context: Identity, clients and limits of the local agent.
+            origin: Origin of the chunks; None to fetch from peers alone.
+            holding: Chunks of the version that are held.
+            peers: Agents that chunks may be fetched from, by name.
+            origin_copies: Number of copies of the version that the origin sends.
+            hubs: Agents that fetch from the origin and into their domains before all
+                others.
+            origin_domain: Failure domain of the origin, if known.
+            paced: Whether peers are asked to send at the rate of the context.
+            is_needed: Returns whether the version is still needed.
+            unpaced_domain: Domain whose peers send without a rate limit.
+        """
         self.context = context
         self.origin = origin
         self.holding = holding
@@ -147,7 +175,8 @@
             self.rate.record_start(boottime())
         try:
             while not self.planner.is_complete() and not self.cancelled:
-                # An unavailable origin never reports that the version is outdated.
+                # Checked in each round: while the origin is unavailable, no answer of
+                # the origin can end the transfer of an outdated version.
                 if not self.is_needed():
                     break
                 self._check_corrupt_chunks()
@@ -166,10 +195,13 @@
     def _is_probing(self) -> bool:
         """Check whether the first chunk is fetched alone to measure the link's rate.
 
-        On a link that had narrowed to 1/14 of its rate, two chunks sent at the usual
-        rate blocked all requests to the engine for 1.9 s, one chunk for 1 s.
-        A neighbour that hangs delays the other fetches by no more than the longest
-        time that a chunk may take.
+        This applies if the rate is limited for all domains and no chunk has confirmed
+        the estimate since the last pause; fetches from the origin do not wait for it.
+        On a link whose bandwidth had dropped to 1/14, two chunks sent at the usual rate
+        blocked all requests to the engine on this link for 1.9 s, one chunk for 1 s.
+
+        The measurement ends at the latest after the longest time that a chunk may take,
+        so a neighbour that hangs delays the other fetches no longer than that.
         """
         rate = self.rate
         if rate is None or rate.is_known or self.unpaced_domain is not None:
@@ -199,7 +231,7 @@
         self.close()
 
     def close(self) -> None:
-        """Stop all fetches and all control connections to neighbours."""
+        """Stop all fetches and close all control connections to neighbours."""
         threads, self.threads = self.threads, []
         for thread in threads:
             thread.kill()
@@ -243,8 +275,9 @@
     def _check_missing_at_origin(self) -> None:
         """Fail if the origin does not have a chunk and no neighbour holds it.
 
-        Repeated requests for a version that the origin dropped would delay newer
-        versions.
+        Without this check the transfer would repeat its requests for a version that the
+        origin has dropped, which would delay newer versions. Neighbours first get the
+        time to announce their holdings.
 
         Raises:
             TransferError: A chunk is not available anywhere.
@@ -259,8 +292,8 @@
         """Track the holdings of a neighbour; reconnect when the connection is lost."""
         while True:
             try:
-                for holds in self._receive_holdings(neighbour):
-                    self._apply_holds(neighbour, holds)
+                for announcement in self._receive_holdings(neighbour):
+                    self._apply_announcement(neighbour, announcement)
             except ChannelClosed as error:
                 logger.debug(
                     "cannot follow the holdings of neighbour %s: %s", neighbour, error
@@ -280,24 +313,28 @@
             self.context.source,
         )
         with closing(channel):
-            me = self.planner.local
+            local = self.planner.local
             channel.send(
-                Follow(PROTOCOL_VERSION, me.target, me.domain, self.holding.root)
+                Follow(PROTOCOL_VERSION, local.target, local.domain, self.holding.root)
             )
             yield from channel.messages(HeldChunks)
 
-    def _apply_holds(self, neighbour: TargetName, holds: HeldChunks) -> None:
+    def _apply_announcement(
+        self, neighbour: TargetName, announcement: HeldChunks
+    ) -> None:
         """Pass the announced holdings of a neighbour to the planner."""
-        if not holds.chunks and not holds.seen:
+        if not announcement.chunks and not announcement.seen:
             return
         now = boottime()
-        held = self.holding.add_seen(holds.chunks)
+        held = self.holding.add_seen(announcement.chunks)
         self.planner.record_peer_chunks(neighbour, held, now)
         if not self.planner.role.hubs:
-            # Hubs announce their holdings to each other directly. Chunks that loaders
-            # had seen at a failed hub stopped the hub's successor from fetching them
-            # for 4.5 s, as if they were still available.
-            seen = self.holding.add_seen(holds.seen)
+            # Without hubs, chunks that a neighbour has seen at other agents count too.
+            # Hubs announce their holdings to each other directly. If indirect reports
+            # counted for hubs, a hub's successor would not fetch chunks that loaders
+            # had seen at the failed hub, as if these were still available; in one case
+            # this lasted 4.5 s.
+            seen = self.holding.add_seen(announcement.seen)
             self.planner.record_fleet_chunks(seen, now)
         self.progress.notify()
 
@@ -326,7 +363,7 @@
         return FetchFailure.CORRUPT
 
     def _record_rejection(self, fetch: Fetch) -> None:
-        """Count and log a chunk whose bytes do not match its digest."""
+        """Count a chunk whose bytes do not match its digest, and emit an event."""
         self.context.counts.rejected += 1
         self.context.metrics.count(Metric.CHUNKS_REJECTED)
         source = fetch.source or "origin"
@@ -343,11 +380,12 @@
             )
 
     def _fetch_from_origin(self, fetch: Fetch) -> bytes | FetchFailure:
+        """Fetch a chunk from the origin; the bytes are not verified yet."""
         assert self.origin is not None
         place = self.holding.places[self.holding.index[fetch.digest]]
-        stall = self.context.chunk_stall_seconds
+        stall_seconds = self.context.chunk_stall_seconds
         try:
-            data = self.origin.chunk(place, stall)
+            data = self.origin.chunk(place, stall_seconds)
         except OriginBusy:
             return FetchFailure.BUSY
         except OriginMissing as error:
@@ -359,8 +397,8 @@
             self.error = f"origin-unavailable: {error}"
             return FetchFailure.STALLED
         self.error = ""
-        # Chunks are fetched concurrently: count the bytes received since the last
-        # fetch ended, so that each byte is counted once.
+        # The origin counts the bytes of all concurrent fetches together. Only the bytes
+        # since the last successful fetch are added, so that each byte counts once.
         self.context.counts.from_origin += (
             self.origin.received_bytes - self.counted_bytes
         )
@@ -368,10 +406,14 @@
         self.context.count_received_from_origin(PayloadKind.WEIGHTS, len(data))
         self.context.metrics.count(Metric.BYTES_FROM_ORIGIN, len(data))
         if len(data) != place.length:
-            self.error = f"chunk-length: {place.path} at byte {place.start}"
+            self.error = (
+                f"chunk-length: {place.path} at byte {place.start}: the origin sent "
+                f"another length than the manifest states"
+            )
         return data
 
     def _fetch_from_peer(self, fetch: Fetch) -> bytes | FetchFailure:
+        """Fetch a chunk from another agent; the bytes are not verified yet."""
         peer = self.peers[fetch.source]
         path = f"{CHUNK_PATH}{fetch.digest}"
         headers = {
@@ -382,14 +424,14 @@
         if rate is not None:
             headers[RATE_HEADER] = str(int(rate.current))
         fetches_before = self.peer_fetches()
-        started = boottime()
+        started_at = boottime()
         if self.referrals.get(fetch.digest, 0) >= LAST_RESORT_REFERRALS:
             headers[LAST_RESORT_HEADER] = "yes"
-        limit = self.holding.places[self.holding.index[fetch.digest]].length
-        stall = self.context.chunk_stall_seconds
+        max_bytes = self.holding.places[self.holding.index[fetch.digest]].length
+        stall_seconds = self.context.chunk_stall_seconds
         try:
             response = self.context.http.send(
-                "GET", peer.address, path, headers=headers, timeout=stall
+                "GET", peer.address, path, headers=headers, timeout=stall_seconds
             )
             with closing(response):
                 if response.status != 200:
@@ -397,7 +439,7 @@
                     response.release_conn()
                     return self._classify_refusal(fetch, response.status)
                 data = b"".join(
-                    self.context.download.pace(read_pieces(response, limit))
+                    self.context.download.pace(read_pieces(response, max_bytes))
                 )
                 response.release_conn()
         except NoConnection:
@@ -405,7 +447,7 @@
         except ExchangeFailed:
             return FetchFailure.STALLED
         if rate is not None:
-            seconds = boottime() - started
+            seconds = boottime() - started_at
             rate.observe(len(data), seconds, (fetches_before, self.peer_fetches()))
         self._count_peer_bytes(fetch.source, len(data))
         return data
@@ -416,7 +458,11 @@
         return sum(1 for source in sources if source != ORIGIN)
 
     def _classify_refusal(self, fetch: Fetch, status: int) -> FetchFailure:
-        """Return the failure that an HTTP status of a peer stands for."""
+        """Return the failure that an HTTP status of a peer stands for; count referrals.
+
+        404 means that the peer does not hold the chunk, 429 that it refers the fetch to
+        agents that it has sent the chunk to. Any other status counts as busy.
+        """
         if status == 404:
             return FetchFailure.MISSING
         if status == 429:
@@ -425,6 +471,7 @@
         return FetchFailure.BUSY
 
     def _count_peer_bytes(self, source: TargetName, size: int) -> None:
+        """Count bytes received from a peer, by whether they crossed a domain border."""
         self.context.count_received(
             PayloadKind.WEIGHTS, size, self.peers[source].domain
         )
