--- a/src/ridgecourse/entry/config_follower.py
+++ b/src/ridgecourse/entry/config_follower.py
@@ -99,9 +99,7 @@
     def _restore_checkpoint(self, earliest: Offset) -> None:
         encoded = self.context.log.read_newest(Stream.CHECKPOINTS)
         if encoded is None:
-            raise LogUnavailable(
-                "log records were removed by retention and the log has no checkpoint"
-            )
+            raise LogUnavailable("records are gone and there is no checkpoint")
         decoded = decode_message(encoded, ConfigSnapshot)
         if isinstance(decoded, Failure):
             raise LogUnavailable(f"invalid checkpoint: {decoded.failure()}")
--- a/src/ridgecourse/gateway/dispatcher.py
+++ b/src/ridgecourse/gateway/dispatcher.py
@@ -185,9 +185,9 @@
             return None
         routed.excess = excess
         detail = (
-            f"estimated wait {choice.wait:.2f} s, first-event delay {delay:.2f} s at "
-            f"{choice.target.target}, utilization {prospect.occupancy:.2f}, after "
-            f"{routed.waited:.2f} s of waiting"
+            f"would wait {choice.wait:.2f} s and {delay:.2f} s at "
+            f"{choice.target.target}, filled to {prospect.occupancy:.2f}, after "
+            f"{routed.waited:.2f} s"
         )
         return NotRun(Reason.OVERLOADED, detail, arrived=False)
 
--- a/src/ridgecourse/gateway/stream_relay.py
+++ b/src/ridgecourse/gateway/stream_relay.py
@@ -54,10 +54,10 @@
                     try:
                         for event in self._new_events(routed, stream):
                             yield event.data
-                        outcome, why = Outcome.COMPLETED, "stream complete"
+                        outcome, why = Outcome.COMPLETED, "stream whole"
                         return
                     except ExchangeBroken as error:
-                        why = f"stream interrupted: {error}"
+                        why = f"stream broke off: {error}"
                         resumed = self._resume(routed, terms, tried, error)
                     if resumed is None:
                         raise StreamInterrupted(why)
