--- a/src/ridgecourse/net/record_source.py
+++ b/src/ridgecourse/net/record_source.py
@@ -49,7 +49,7 @@
         records: The records, in order of their offsets.
         end: Offset at which to continue reading.
         confirmed_at: Earliest time at which the store may have written the answer; see
-            ``core.hearing``.
+            ``core.answer_time``.
         remaining_records: Number of records in the topic after ``end``.
         earliest_written_at: Time before which none of the records was written. None
             stands for the last time at which the store confirmed the data without these
